--- a/bundling/__main__.py
+++ b/bundling/__main__.py
@@ -9,7 +9,7 @@
 
 from bundling.archive import list_modules
 from bundling.archive import write_archive
-from bundling.plain_classes import write_out
+from bundling.plain_classes import convert_module
 from liftmount.platform.launcher import DEPENDENCIES
 from liftmount.platform.launcher import PROGRAM
 
@@ -17,7 +17,7 @@
 PACKAGE = 'liftmount'
 
 
-def copy_plain(program: Path, dependencies: Path) -> None:
+def copy_package(program: Path, dependencies: Path) -> None:
     """Copy the package, with the classes of a balancer written out."""
     shutil.copytree(SOURCE / PACKAGE, program / PACKAGE)
     for name in list_modules(program, dependencies):
@@ -27,7 +27,7 @@
         if path.is_dir():
             path = path / '__init__'
         path = path.with_suffix('.py')
-        path.write_text(write_out(path.read_text(), name))
+        path.write_text(convert_module(path.read_text(), name))
 
 
 def build(target: Path) -> int:
@@ -37,7 +37,7 @@
     """
     new = target / 'new' / PROGRAM
     shutil.rmtree(new.parent, ignore_errors=True)
-    copy_plain(new, target / DEPENDENCIES)
+    copy_package(new, target / DEPENDENCIES)
     count = write_archive(new, target / DEPENDENCIES)
     old = target / 'old'
     shutil.rmtree(old, ignore_errors=True)
--- a/bundling/archive.py
+++ b/bundling/archive.py
@@ -9,7 +9,7 @@
 
 from liftmount.platform.launcher import ARCHIVE
 from liftmount.platform.launcher import DEPENDENCIES
-from liftmount.platform.launcher import HEAD_BYTES
+from liftmount.platform.launcher import HEADER_BYTES
 from liftmount.platform.launcher import LIBRARY
 from liftmount.platform.launcher import PROGRAM
 
@@ -60,24 +60,24 @@
     }
     index = {}
     codes = []
-    offset = HEAD_BYTES
+    offset = HEADER_BYTES
     for name in list_modules(program, dependencies):
         path = _find_source(name, roots)
         if path is None:
             continue
-        code = _compiled(path)
-        index[name] = (offset, len(code), *_package_folder(path, roots))
+        code = _compile_module(path)
+        index[name] = (offset, len(code), *_locate_package(path, roots))
         codes.append(code)
         offset += len(code)
-    head = marshal.dumps((sys.version, index))
-    if len(head) > HEAD_BYTES:
-        raise ValueError(f'an index of {len(head)} bytes')
-    data = head.ljust(HEAD_BYTES, b'\0') + b''.join(codes)
+    header = marshal.dumps((sys.version, index))
+    if len(header) > HEADER_BYTES:
+        raise ValueError(f'an index of {len(header)} bytes')
+    data = header.ljust(HEADER_BYTES, b'\0') + b''.join(codes)
     (program / ARCHIVE).write_bytes(data)
     return len(index)
 
 
-def _compiled(path):
+def _compile_module(path):
     code = compile(path.read_bytes(), path, 'exec', optimize=OPTIMIZE)
     return marshal.dumps(code)
 
@@ -97,7 +97,7 @@
     return None
 
 
-def _package_folder(path, roots):
+def _locate_package(path, roots):
     """Return the root and folder of a package, empty for other modules."""
     if path.name != '__init__.py':
         return '', ''
--- a/bundling/plain_classes.py
+++ b/bundling/plain_classes.py
@@ -37,12 +37,12 @@
     def factory(self) -> ast.Call | None:
         """Return the call that declares how the default is made."""
         value = self.default
-        if isinstance(value, ast.Call) and _name(value.func) == 'Factory':
+        if isinstance(value, ast.Call) and _get_name(value.func) == 'Factory':
             return value
         return None
 
 
-def write_out(source: str, where: str) -> str:
+def convert_module(source: str, where: str) -> str:
     """Return a module's source without attrs.
 
     Raises UnsupportedClassError, which says ``where`` the class stands.
@@ -52,7 +52,7 @@
         return source
     body = []
     for node in tree.body:
-        body += _statement(node, where)
+        body += _convert_statement(node, where)
     tree.body = body
     return ast.unparse(ast.fix_missing_locations(tree)) + '\n'
 
@@ -60,84 +60,84 @@
 def _uses_attrs(tree):
     return any(
         isinstance(node, ast.ImportFrom)
-        and (node.module == ATTRS or _message_import(node))
+        and (node.module == ATTRS or _imports_message(node))
         for node in tree.body
     )
 
 
-def _message_import(node):
+def _imports_message(node):
     names = {one.name for one in node.names}
     return node.module == MESSAGE_MODULE and 'message' in names
 
 
-def _statement(node, where):
+def _convert_statement(node, where):
     """Return the statements that take the place of one."""
     match node:
         case ast.ImportFrom(module='attrs'):
-            _check_imported(node, where)
+            _check_imports(node, where)
             return []
-        case ast.ImportFrom() if _message_import(node):
+        case ast.ImportFrom() if _imports_message(node):
             node.names = [one for one in node.names if one.name != 'message']
             return [node] if node.names else []
         case ast.FunctionDef(name='message'):
             return []
-        case ast.ClassDef() if _decorator(node) is not None:
-            return [_plain_class(node, where)]
-    _refuse_attrs(node, where)
+        case ast.ClassDef() if _find_decorator(node) is not None:
+            return [_convert_class(node, where)]
+    _reject_attrs(node, where)
     return [node]
 
 
-def _check_imported(node, where):
+def _check_imports(node, where):
     unknown = {one.name for one in node.names} - {*DECORATORS, 'Factory'}
     if unknown:
         names = ', '.join(sorted(unknown))
         raise UnsupportedClassError(f'{where}:{node.lineno}: {names}')
 
 
-def _refuse_attrs(node, where):
+def _reject_attrs(node, where):
     """Raise an error if a statement would miss what attrs defines."""
     for part in ast.walk(node):
         if isinstance(part, ast.Name) and part.id in ('attrs', 'Factory'):
             raise UnsupportedClassError(f'{where}:{node.lineno}: {part.id}')
 
 
-def _name(node):
+def _get_name(node):
     return node.id if isinstance(node, ast.Name) else ''
 
 
-def _decorator(node):
+def _find_decorator(node):
     """Return the decorator of attrs that a class has."""
     for one in node.decorator_list:
-        if _decorator_name(one) in DECORATORS:
+        if _get_decorator_name(one) in DECORATORS:
             return one
     return None
 
 
-def _decorator_name(decorator):
+def _get_decorator_name(decorator):
     if isinstance(decorator, ast.Call):
-        return _name(decorator.func)
-    return _name(decorator)
+        return _get_name(decorator.func)
+    return _get_name(decorator)
 
 
-def _options(decorator):
+def _read_options(decorator):
     """Return the keywords that a decorator is called with."""
     if not isinstance(decorator, ast.Call):
         return {}
     return {one.arg: one.value.value for one in decorator.keywords}
 
 
-def _plain_class(node, where):
-    decorator = _decorator(node)
-    options = _options(decorator)
-    kind = _decorator_name(decorator)
+def _convert_class(node, where):
+    decorator = _find_decorator(node)
+    options = _read_options(decorator)
+    kind = _get_decorator_name(decorator)
     has_own = kind != 'message'
     unknown = set(options) - {'eq', 'repr'}
     if unknown or len(node.decorator_list) > 1:
         raise UnsupportedClassError(f'{where}: {node.name}: its decorators')
-    fields, rest = _split(node, where)
-    made = [_slots(fields), _match_args(fields), _init(fields)]
+    fields, rest = _split_body(node, where)
+    made = [_make_slots(fields), _make_match_args(fields), _make_init(fields)]
     if has_own and options.get('eq', True):
-        made += _comparison(fields, kind == 'frozen')
+        made += _make_comparison(fields, kind == 'frozen')
     if has_own and options.get('repr', True):
         made += _parse(_REPR)
     node.decorator_list = []
@@ -147,13 +147,13 @@
     return node
 
 
-def _split(node, where):
+def _split_body(node, where):
     """Return the fields of a class, and its other statements."""
     fields = []
     rest = []
     for one in node.body:
         if isinstance(one, ast.AnnAssign):
-            fields.append(_field(one, f'{where}: {node.name}'))
+            fields.append(_read_field(one, f'{where}: {node.name}'))
             continue
         if getattr(one, 'name', '') in UNSUPPORTED:
             raise UnsupportedClassError(f'{where}: {node.name}: {one.name}')
@@ -161,9 +161,9 @@
     return fields, rest
 
 
-def _field(node, where):
+def _read_field(node, where):
     value = node.value
-    if isinstance(value, ast.Call) and _name(value.func) == 'field':
+    if isinstance(value, ast.Call) and _get_name(value.func) == 'field':
         raise UnsupportedClassError(f'{where}: {node.target.id}: field()')
     return Field(node.target.id, value)
 
@@ -172,24 +172,24 @@
     return ast.parse(text).body
 
 
-def _slots(fields):
+def _make_slots(fields):
     (node,) = _parse(f'__slots__ = {tuple(one.name for one in fields)!r}')
     return node
 
 
-def _match_args(fields):
+def _make_match_args(fields):
     names = tuple(one.name for one in fields)
     (node,) = _parse(f'__match_args__ = {names!r}')
     return node
 
 
-def _init(fields):
+def _make_init(fields):
     """Return ``__init__``; a default that is made has its place in it."""
     parameters = ['self']
     lines = []
     for one in fields:
         parameter = one.parameter
-        lines.append(f'    self.{one.name} = {_value(one)}')
+        lines.append(f'    self.{one.name} = {_initial_value(one)}')
         if one.factory is not None:
             parameters.append(f'{parameter}=...')
         elif one.default is not None:
@@ -201,7 +201,7 @@
     return node
 
 
-def _value(one):
+def _initial_value(one):
     call = one.factory
     if call is None:
         return one.parameter
@@ -210,10 +210,10 @@
     return f'{made} if {one.parameter} is ... else {one.parameter}'
 
 
-def _comparison(fields, is_hashable):
+def _make_comparison(fields, is_hashable):
     """Return ``__eq__`` and ``__hash__`` over all fields."""
-    own = _tuple('self', fields)
-    other = _tuple('other', fields)
+    own = _format_tuple('self', fields)
+    other = _format_tuple('other', fields)
     text = (
         'def __eq__(self, other):\n'
         '    if other.__class__ is not self.__class__:\n'
@@ -227,7 +227,7 @@
     return _parse(text)
 
 
-def _tuple(name, fields):
+def _format_tuple(name, fields):
     return '(' + ''.join(f'{name}.{one.name}, ' for one in fields) + ')'
 
 
--- a/soak/transport.py
+++ b/soak/transport.py
@@ -10,12 +10,12 @@
 from attrs import define
 from attrs import Factory
 
-from liftmount.platform import heads
+from liftmount.platform import packet_headers
 
-SYN = heads.SYN
+SYN = packet_headers.SYN
 ACK = 128
-FIN = heads.FIN
-RST = heads.RST
+FIN = packet_headers.FIN
+RST = packet_headers.RST
 # Data of a packet, packets under way, and waits before they are sent
 # again, as the platform's clients and targets have them.
 DATA_BYTES = 1_200
@@ -45,7 +45,7 @@
 
     def encode(self) -> bytes:
         """Return the datagram, with its sum."""
-        head = heads.HEAD.pack(
+        head = packet_headers.HEADER.pack(
             self.sequence & MASK,
             self.acknowledgement & MASK,
             len(self.payload),
@@ -70,7 +70,7 @@
 
 def decode(datagram: bytes) -> Packet:
     """Read a datagram."""
-    found = heads.HEAD.unpack_from(datagram)
+    found = packet_headers.HEADER.unpack_from(datagram)
     sequence, acknowledgement, length = found[:3]
     return Packet(
         sequence,
@@ -79,7 +79,9 @@
         found[5:7],
         found[7],
         found[9],
-        datagram[heads.HEAD.size : heads.HEAD.size + length],
+        datagram[
+            packet_headers.HEADER.size : packet_headers.HEADER.size + length
+        ],
         found[8],
     )
 
--- a/src/liftmount/_internal/services/early.py
+++ b/src/liftmount/_internal/services/early.py
@@ -101,7 +101,7 @@
     """Serves packets in turns, as soon as the first lists are there.
 
     ``lists`` are lists that the store was asked for, by feed; each has
-    ``socket``, ``is_asked`` and ``advance()``, which returns a Listing
+    ``socket``, ``is_request_sent`` and ``advance()``, which returns a Listing
     once it is there and raises PlatformError.
     """
 
@@ -151,7 +151,7 @@
             self._end(feed, one)
             return
         if listing is None:
-            events = select.POLLIN if one.is_asked else select.POLLOUT
+            events = select.POLLIN if one.is_request_sent else select.POLLOUT
             self._poll.modify(one.socket, events)
             return
         self._end(feed, one)
--- a/src/liftmount/_internal/services/feeds.py
+++ b/src/liftmount/_internal/services/feeds.py
@@ -19,7 +19,7 @@
     ``feed`` has ``fetch(may_lag, timeout_ms)`` and ``watch(revision,
     wait_ms, timeout_ms)``, which raise PlatformError.  ``known`` is the
     Listing that the listeners know already, if any, ``begun`` a list that is
-    under way; it has ``socket``, ``is_asked`` and ``advance()``.  ``times``
+    under way with ``socket``, ``is_request_sent``, ``advance()``.  ``times``
     are FreshnessTimes, ``settle_ms`` is how long after a first list it is
     proven.
     """
@@ -154,7 +154,7 @@
             while (listing := begun.advance()) is None:
                 await wait_for_socket(
                     begun.socket,
-                    not begun.is_asked,
+                    not begun.is_request_sent,
                     following.LIST_TIMEOUT_MS,
                 )
         finally:
--- a/src/liftmount/_internal/services/packet_path.py
+++ b/src/liftmount/_internal/services/packet_path.py
@@ -62,8 +62,8 @@
 class PacketPath:
     """Owns the socket for packets and what is decided on them.
 
-    ``codec`` has ``read(datagram)``, ``forwarded(action)`` and
-    ``reset(action)``; ``options`` are EntrySettings.  ``wanted`` holds a
+    ``codec`` has ``read(datagram)``, ``encode_forward(action)`` and
+    ``encode_reset(action)``; ``options`` are EntrySettings.  ``wanted`` has a
     SendProbe for each target to probe.  ``leaving`` is a LeavingState
     once a planned stop has begun.
     """
@@ -224,7 +224,7 @@
             match action:
                 case flows.Forward():
                     self._send(
-                        self._codec.forwarded(action),
+                        self._codec.encode_forward(action),
                         action.target.endpoint.socket_address(),
                     )
                 case flows.Refuse():
@@ -349,7 +349,7 @@
         self._counters.count(f'refused.{action.reason.value}')
         self._log_flow('reset', action, target=action.target)
         destination = (action.client.ip, self._client_port)
-        self._send(self._codec.reset(action), destination)
+        self._send(self._codec.encode_reset(action), destination)
 
     def _drop(self, action):
         self._counters.count(f'dropped.{action.reason.value}')
--- a/src/liftmount/platform/daemon.py
+++ b/src/liftmount/platform/daemon.py
@@ -28,10 +28,10 @@
     return Adapter(make_feeds, load, stamp, READY_PATH)
 
 
-def main(path: str, early: EarlyBalancer) -> int:
+def main(path: str, startup: EarlyBalancer) -> int:
     """Run a balancer with the settings at ``path``; return its status.
 
-    ``early`` is what serves already.
+    ``startup`` is what serves already.
     """
-    asyncio.run(EntryBalancer(make_adapter(path), early).run())
+    asyncio.run(EntryBalancer(make_adapter(path), startup).run())
     return 0
--- a/src/liftmount/platform/documents.py
+++ b/src/liftmount/platform/documents.py
@@ -16,7 +16,7 @@
     """Return the path of a kind, or of an object by its key."""
     kind, slash, name = key.partition('/')
     text = '&'.join(f'{one}={value}' for one, value in (query or {}).items())
-    path = f'/objects/{kind}{slash}{_quoted(name)}'
+    path = f'/objects/{kind}{slash}{_quote_name(name)}'
     return f'{path}?{text}' if text else path
 
 
@@ -25,13 +25,13 @@
 
     A list that ``may_lag`` costs less, and may be some seconds old.
     """
-    query = {'after': _quoted(after)} if after else {}
+    query = {'after': _quote_name(after)} if after else {}
     if may_lag:
         query['allow_stale'] = '1'
     return object_path(kind, query)
 
 
-def _quoted(name):
+def _quote_name(name):
     """Return a name as it stands in a path."""
     if not name:
         return ''
@@ -50,9 +50,9 @@
         document = json.loads(body)
     except (ValueError, RecursionError):
         # Hardly ever needed, and a start does without.
-        from liftmount.platform.salvage import salvaged
+        from liftmount.platform.partial_json import parse_partial
 
-        document = salvaged(body.decode(errors='replace'))
+        document = parse_partial(body.decode(errors='replace'))
     if type(document) is not dict:
         raise PlatformError(f'{path}: expected fields')
     return document
@@ -64,12 +64,12 @@
     ``report(error)`` hears of each item that names no object.
     """
     items = []
-    for index, one in enumerate(_list(page, 'items')):
+    for index, one in enumerate(_get_list(page, 'items')):
         try:
             items.append(read_object(kind, one))
         except PlatformError as error:
             report(StoredObjectError(kind, f'items[{index}]', one, str(error)))
-    return Listing(tuple(items), _revision(page))
+    return Listing(tuple(items), _read_revision(page))
 
 
 def read_changes(kind: str, page: dict, base: int, report) -> Delta:
@@ -79,7 +79,7 @@
     """
     latest = {}
     revisions = []
-    for index, event in enumerate(_list(page, 'events')):
+    for index, event in enumerate(_get_list(page, 'events')):
         try:
             stored, is_gone = _read_event(kind, event)
         except PlatformError as error:
@@ -92,7 +92,7 @@
     written = tuple(one for one in latest.values() if one is not None)
     removed = tuple(name for name, one in latest.items() if one is None)
     return Delta(
-        written, removed, _revision(page), base, changes=tuple(revisions)
+        written, removed, _read_revision(page), base, changes=tuple(revisions)
     )
 
 
@@ -103,14 +103,14 @@
     return stored, bool(event.get('tombstone'))
 
 
-def _list(page, field):
+def _get_list(page, field):
     value = page.get(field, [])
     if type(value) is not list:
         raise PlatformError(f'{field}: expected a list')
     return value
 
 
-def _revision(page):
+def _read_revision(page):
     """Return the revision of the store when it answered."""
     value = page.get('current_rev')
     if type(value) is not int:
--- a/src/liftmount/platform/feeds.py
+++ b/src/liftmount/platform/feeds.py
@@ -25,31 +25,31 @@
 class Decoded(Message):
     """What stored objects hold, and the names of those that hold nothing."""
 
-    good: tuple
-    bad: tuple[str, ...]
+    accepted: tuple
+    rejected: tuple[str, ...]
 
 
-def decode_all(stored, read, note) -> Decoded:
+def decode_all(stored, read, record_problems) -> Decoded:
     """Turn stored objects into types of the project.
 
     ``read(name, spec, report)`` raises StoredObjectError if it can use
     nothing of an object, and reports what it passes over of others.
-    ``note(key, revision, problems)`` hears of all that is wrong with an
+    ``record_problems(key, revision, problems)`` hears of all that is wrong with an
     object, maybe of nothing.
     """
-    good = []
-    bad = []
+    accepted = []
+    rejected = []
     for one in stored:
         problems = []
         try:
-            good.append(read(one.name, one.value, problems.append))
+            accepted.append(read(one.name, one.value, problems.append))
         except StoredObjectError as error:
             problems.append(error)
-            bad.append(one.name)
-        note(one.key, one.version, problems)
-    return Decoded(tuple(good), tuple(bad))
+            rejected.append(one.name)
+        record_problems(one.key, one.version, problems)
+    return Decoded(tuple(accepted), tuple(rejected))
 
 
-def note_nameless(note):
+def make_unnamed_recorder(record_problems):
     """Return what notes a part of an answer that names no object."""
-    return lambda error: note(error.name, 0, [error])
+    return lambda error: record_problems(error.name, 0, [error])
--- a/src/liftmount/platform/first_lists.py
+++ b/src/liftmount/platform/initial_lists.py
@@ -22,13 +22,13 @@
 from liftmount.platform.documents import ListPages
 from liftmount.platform.documents import read_document
 from liftmount.platform.feeds import decode_all
-from liftmount.platform.feeds import note_nameless
+from liftmount.platform.feeds import make_unnamed_recorder
 
 
-class FirstList:
+class InitialList:
     """A list of one kind, page by page, over a connection of its own.
 
-    ``read`` and ``note`` are those of a StoreFeed.  A lagging answer is
+    ``read`` and ``record_problems`` are those of a StoreFeed.  A lagging answer is
     good enough: what changed since is watched for from its revision on.
     """
 
@@ -38,16 +38,16 @@
         clock: Clock,
         kind: str,
         read,
-        note,
+        record_problems,
     ):
         self._address = address
         self._clock = clock
         self._kind = kind
         self._read = read
-        self._note = note
-        self._pages = ListPages(kind, note_nameless(note))
+        self._record_problems = record_problems
+        self._pages = ListPages(kind, make_unnamed_recorder(record_problems))
         self._after = ''
-        self.is_asked = False
+        self.is_request_sent = False
         self.socket = make_socket(SOCK_STREAM)
         self.socket.connect_ex(address.socket_address())
 
@@ -58,21 +58,21 @@
         PlatformError if the list can't be had.
         """
         try:
-            if not self.is_asked:
-                self._ask()
+            if not self.is_request_sent:
+                self._send_request()
             return self._receive()
         except BlockingIOError:
             return None
         except (OSError, HttpParserError) as error:
             raise PlatformError(f'{self._kind}: {error!r}') from error
 
-    def _ask(self):
+    def _send_request(self):
         self._message = HttpMessage()
         self._parser = HttpResponseParser(self._message)
         self._path = list_path(self._kind, self._after, may_lag=True)
         # A request is far shorter than the buffer of a new connection.
         self.socket.send(request_bytes('GET', self._path, self._address))
-        self.is_asked = True
+        self.is_request_sent = True
         self._began_ms = None
 
     def _receive(self):
@@ -83,10 +83,10 @@
             if self._began_ms is None:
                 self._began_ms = self._clock.now_ms()
             self._parser.feed_data(data)
-            if self._message.is_complete and self._take_page():
-                return self._listing()
+            if self._message.is_complete and self._add_page():
+                return self._make_listing()
 
-    def _take_page(self) -> bool:
+    def _add_page(self) -> bool:
         """Take over a page; tell whether it was the last one."""
         status = self._parser.get_status_code()
         if status != HTTP_OK:
@@ -96,10 +96,10 @@
         self._after = self._pages.add(page, self._began_ms, len(body))
         if not self._after:
             return True
-        self._ask()
+        self._send_request()
         return False
 
-    def _listing(self):
+    def _make_listing(self):
         stored = self._pages.listing(self._clock.now_ms())
-        decoded = decode_all(stored.items, self._read, self._note)
-        return changed(stored, items=decoded.good, may_lag=True)
+        decoded = decode_all(stored.items, self._read, self._record_problems)
+        return changed(stored, items=decoded.accepted, may_lag=True)
--- a/src/liftmount/platform/launcher.py
+++ b/src/liftmount/platform/launcher.py
@@ -14,7 +14,7 @@
 
 ARCHIVE = 'balancer.archive'
 # Room for the index: some 80 bytes for each of 150 modules.
-HEAD_BYTES = 65_536
+HEADER_BYTES = 65_536
 # Folders that the build makes: the program, and what it depends on.
 PROGRAM = 'balancer'
 DEPENDENCIES = 'deps'
@@ -23,7 +23,7 @@
 ModuleSpec = type(sys.__spec__)
 
 
-def bind_early(address):
+def bind_packet_socket(address):
     """Return a socket that is bound to IP:PORT, None if it can't be.
 
     Why it can't is said later, when the settings are checked.
@@ -49,8 +49,8 @@
     def __init__(self, path, roots):
         self._file = os.open(path, os.O_RDONLY)
         self._roots = roots
-        head = os.read(self._file, HEAD_BYTES)
-        self._version, self._index = marshal.loads(head)
+        header = os.read(self._file, HEADER_BYTES)
+        self._version, self._index = marshal.loads(header)
 
     @property
     def is_usable(self):
@@ -80,7 +80,7 @@
         exec(marshal.loads(code), module.__dict__)
 
 
-def use_archive(path, roots):
+def install_archive(path, roots):
     """Find modules in an archive from now on, if there is a good one."""
     try:
         archive = Archive(path, roots)
@@ -102,12 +102,12 @@
         DEPENDENCIES: f'{target}/{DEPENDENCIES}',
         LIBRARY: os.path.dirname(os.__file__),
     }
-    use_archive(f'{program}/{ARCHIVE}', roots)
+    install_archive(f'{program}/{ARCHIVE}', roots)
 
 
 def launch(target, address):
     """Run the balancer; return its exit status."""
-    bound = bind_early(address)
+    bound = bind_packet_socket(address)
     prepare(target)
     from liftmount.platform.__main__ import start
 
--- a/src/liftmount/platform/objects.py
+++ b/src/liftmount/platform/objects.py
@@ -27,12 +27,12 @@
 }
 # Where no limit can be read: a flow that is forgotten later than it might be
 # takes memory, and nothing else.
-IDLE_LIMIT_MS = 60_000
-HEX_DIGITS = 16
-LONGEST_NUMBER = 16
+DEFAULT_IDLE_TIMEOUT_MS = 60_000
+HEX_BASE = 16
+MAX_NUMBER_DIGITS = 16
 MS_PER_S = 1_000
 HIGHEST_PORT = 65_535
-WHOLE_WEIGHT = 1
+DEFAULT_WEIGHT = 1
 
 
 class Fields:
@@ -52,7 +52,7 @@
             self.name, f'{self.path}{field}', value, message
         )
 
-    def text(self, field: str) -> str:
+    def string(self, field: str) -> str:
         """Return a text that is not empty."""
         value = self._document.get(field)
         if type(value) is not str or not value:
@@ -61,9 +61,9 @@
 
     def number(self, field: str, default: int | None = None) -> int:
         """Return a whole number from 0 on; fractions are cut."""
-        return int(self.fraction(field, default))
+        return int(self.float_number(field, default))
 
-    def fraction(self, field: str, default: float | None = None) -> float:
+    def float_number(self, field: str, default: float | None = None) -> float:
         """Return a number from 0 on."""
         value = self._document.get(field)
         value = default if value is None else value
@@ -71,13 +71,13 @@
             raise self.error(field, 'expected a number from 0 on')
         return value
 
-    def whole(self, field: str, default: int | None = None) -> int:
+    def integer(self, field: str, default: int | None = None) -> int:
         """Return a whole number from 0 on."""
         if type(self._document.get(field, default)) is not int:
             raise self.error(field, 'expected a whole number')
         return self.number(field, default)
 
-    def texts(self, field: str) -> list[str]:
+    def strings(self, field: str) -> list[str]:
         """Return a list of texts, maybe none."""
         value = self._document.get(field) or []
         if type(value) is not list or not all(
@@ -88,28 +88,28 @@
 
     def one_of(self, field: str, choices) -> str:
         """Return a text that is one of ``choices``."""
-        value = self.text(field)
+        value = self.string(field)
         if value not in choices:
             raise self.error(field, f'expected one of {list(choices)}')
         return value
 
-    def documents(self, field: str) -> list:
+    def list_items(self, field: str) -> list:
         """Return what a list holds, whatever that is."""
         value = self._document.get(field)
         if type(value) is not list:
             raise self.error(field, 'expected a list')
         return value
 
-    def parts(self, field: str) -> list:
+    def sections(self, field: str) -> list:
         """Return the fields of each document in a list, maybe none."""
         if field not in self._document:
             return []
         return [
             Fields(self.name, one, f'{self.path}{field}[{index}].')
-            for index, one in enumerate(self.documents(field))
+            for index, one in enumerate(self.list_items(field))
         ]
 
-    def numbers(self, field: str) -> list[int]:
+    def integers(self, field: str) -> list[int]:
         """Return a list of at least one number."""
         value = self._document.get(field)
         is_list = type(value) is list and len(value) > 0
@@ -127,7 +127,7 @@
         except ValueError as error:
             raise self.error(field, str(error)) from error
 
-    def names(self, field: str) -> dict[str, str]:
+    def string_map(self, field: str) -> dict[str, str]:
         """Return a table of texts, maybe an empty one."""
         value = self._document.get(field) or {}
         if type(value) is not dict or not all(
@@ -136,14 +136,14 @@
             raise self.error(field, 'expected a table of texts')
         return value
 
-    def part(self, field: str):
+    def section(self, field: str):
         """Return the fields of a document inside."""
         value = self._document.get(field, {})
         return Fields(self.name, value, f'{self.path}{field}.')
 
     def endpoint(self, field: str) -> Endpoint:
         """Return an address with its port."""
-        text = self.text(field)
+        text = self.string(field)
         try:
             return parse_endpoint(text)
         except ValueError as error:
@@ -174,19 +174,19 @@
     one of another type, names no target: StoredObjectError.
     """
     fields = Fields(f'{TARGET_KIND}/{name}', spec)
-    fields.text('version')
+    fields.string('version')
     fields.number('sequence')
     return TargetEntry(
         name=name,
         number=_target_number(name),
-        service=fields.text('backend'),
+        service=fields.string('backend'),
         endpoint=fields.endpoint('address'),
-        failure_domain=fields.text('zone'),
+        failure_domain=fields.string('zone'),
         slots=max(1, fields.number('capacity')),
         draining=fields.one_of('state', TARGET_STATES) == DRAINING,
         warm_up_ms=fields.number('warmup_left_ms'),
         # Not every platform says when a target started.
-        started_wall_ms=fields.whole('born', 0),
+        started_wall_ms=fields.integer('born', 0),
     )
 
 
@@ -194,10 +194,10 @@
     """Return the number that the hex digits of an id stand for."""
     digits = name.rpartition('-')[2]
     try:
-        number = int(digits, HEX_DIGITS)
+        number = int(digits, HEX_BASE)
     except ValueError:
         number = -1
-    if number < 0 or len(digits) > LONGEST_NUMBER:
+    if number < 0 or len(digits) > MAX_NUMBER_DIGITS:
         message = 'expected up to 16 hex digits after the last dash'
         raise StoredObjectError(TARGET_KIND, 'name', name, message)
     return number
@@ -215,7 +215,7 @@
         message = f'expected {CONFIGURATION_NAME}'
         raise StoredObjectError(CONFIGURATION_KIND, 'name', name, message)
     routes = {}
-    for route in _read_parts(fields, 'routes', _read_route, report):
+    for route in _read_items(fields, 'routes', _read_route, report):
         routes.setdefault(route.address, route)
     services = _read_services(fields, report)
     return RouteTable(
@@ -227,10 +227,10 @@
     )
 
 
-def _read_parts(fields, field, read, report):
+def _read_items(fields, field, read, report):
     """Return what can be read of a list, in its order."""
     found = []
-    for index, document in enumerate(fields.documents(field)):
+    for index, document in enumerate(fields.list_items(field)):
         path = f'{fields.path}{field}[{index}].'
         try:
             found.append(read(Fields(fields.name, document, path), report))
@@ -241,7 +241,7 @@
 
 def _read_services(fields, report):
     try:
-        return _read_parts(fields, 'backends', _read_service, report)
+        return _read_items(fields, 'backends', _read_service, report)
     except StoredObjectError as error:
         report(error)
         return []
@@ -249,20 +249,20 @@
 
 def _read_idle_limit(fields, report):
     try:
-        return fields.part('limits').number('idle_timeout_ms')
+        return fields.section('limits').number('idle_timeout_ms')
     except StoredObjectError as error:
         report(error)
-        return IDLE_LIMIT_MS
+        return DEFAULT_IDLE_TIMEOUT_MS
 
 
 def _read_service(fields, _report):
     warm_up = WarmUp(
-        per_s=fields.fraction('warmup_per_s', 0),
-        lasts_ms=round(MS_PER_S * fields.fraction('warmup_s', 0)),
+        per_s=fields.float_number('warmup_per_s', 0),
+        lasts_ms=round(MS_PER_S * fields.float_number('warmup_s', 0)),
     )
     return _Service(
-        name=fields.text('name'),
-        health_path=fields.text('health_check_path'),
+        name=fields.string('name'),
+        health_path=fields.string('health_check_path'),
         warm_up=warm_up if warm_up.per_s else None,
     )
 
@@ -273,7 +273,7 @@
     What the requests of a kind that is not known allow is not known either:
     they get the strictest promise.
     """
-    kind = ROUTE_KINDS.get(fields.text('type'))
+    kind = ROUTE_KINDS.get(fields.string('type'))
     if kind is not None:
         return kind
     report(fields.error('type', f'expected one of {sorted(ROUTE_KINDS)}'))
@@ -282,26 +282,26 @@
 
 def _read_route(fields, report):
     shares = [
-        ServiceShare(one.text('backend'), one.number('weight'))
-        for one in fields.parts('weighted_backends')
+        ServiceShare(one.string('backend'), one.number('weight'))
+        for one in fields.sections('weighted_backends')
     ]
     if not shares:
-        shares = [ServiceShare(fields.text('backend'), WHOLE_WEIGHT)]
+        shares = [ServiceShare(fields.string('backend'), DEFAULT_WEIGHT)]
     return Route(
-        name=fields.text('name'),
+        name=fields.string('name'),
         address=_read_address(fields),
         kind=_read_kind(fields, report),
         shares=tuple(shares),
         priority=fields.number('priority', 0),
         objective_ms=fields.number('target_latency_ms', 0),
-        regions=frozenset(fields.texts('allowed_regions')),
+        regions=frozenset(fields.strings('allowed_regions')),
     )
 
 
 def _read_address(fields):
     """Return an address whose port stands where a path is expected."""
-    ip = fields.text('host')
-    port = fields.text('path_prefix').strip('/')
+    ip = fields.string('host')
+    port = fields.string('path_prefix').strip('/')
     if not port.isdecimal() or int(port) > HIGHEST_PORT:
         raise fields.error('path_prefix', 'expected a port between slashes')
     try:
--- a/src/liftmount/platform/heads.py
+++ b/src/liftmount/platform/packet_headers.py
@@ -15,21 +15,21 @@
 from liftmount._internal.models.segments import Segment
 
 # seq, ack, len, dst, dport, src, sport, echo, sum, flags, pad
-HEAD = struct.Struct('<IIHIHIHIIBB')
+HEADER = struct.Struct('<IIHIHIHIIBB')
 TAG = struct.Struct('<I')
 TAG_OFFSET = 22
 TAG_END = TAG_OFFSET + TAG.size
 # Both ends, which identify a flow: dst, dport, src, sport.
-FLOW = slice(10, 22)
+FLOW_SLICE = slice(10, 22)
 NUMBER_BYTES = 8
 SYN = 2
 FIN = 16
 RST = 32
 # Ends of flows that are kept decoded; each flow has two.
-KNOWN_ENDS = 65_536
+ENDPOINT_CACHE_SIZE = 65_536
 
 
-@lru_cache(maxsize=KNOWN_ENDS)
+@lru_cache(maxsize=ENDPOINT_CACHE_SIZE)
 def _endpoint(ip_number, port):
     octets = ip_number.to_bytes(4, 'big')
     return Endpoint('.'.join(map(str, octets)), port)
@@ -41,7 +41,7 @@
 
 def read(datagram: bytes) -> Segment:
     """Read a client's packet; raises PacketError if it has no whole head."""
-    if len(datagram) < HEAD.size:
+    if len(datagram) < HEADER.size:
         raise PacketError(f'a packet of {len(datagram)} bytes has no head')
     (
         sequence,
@@ -55,9 +55,9 @@
         _sum,
         flags,
         _pad,
-    ) = HEAD.unpack_from(datagram)
+    ) = HEADER.unpack_from(datagram)
     return Segment(
-        flow=datagram[FLOW],
+        flow=datagram[FLOW_SLICE],
         client=_endpoint(client_ip, client_port),
         address=_endpoint(address_ip, address_port),
         opens=bool(flags & SYN),
@@ -71,7 +71,7 @@
     )
 
 
-def forwarded(action: Forward) -> bytes:
+def encode_forward(action: Forward) -> bytes:
     """Return the datagram that a target gets.
 
     The target's number always stands in front: an address that another
@@ -88,9 +88,9 @@
     )
 
 
-def reset(action: Refuse) -> bytes:
+def encode_reset(action: Refuse) -> bytes:
     """Return a reset from the route's address to the client."""
-    return HEAD.pack(
+    return HEADER.pack(
         action.sequence,
         0,
         0,
--- a/src/liftmount/platform/salvage.py
+++ b/src/liftmount/platform/partial_json.py
@@ -9,14 +9,14 @@
 
 # Strings, and the signs between values; whatever else there is stays in
 # between.  A string may hold line breaks that it must not hold.
-TOKENS = re.compile(r'"(?:[^"\\]|\\.)*"|[{}\[\],:]', re.DOTALL)
+TOKEN_PATTERN = re.compile(r'"(?:[^"\\]|\\.)*"|[{}\[\],:]', re.DOTALL)
 OPENING = '{['
 CLOSING = '}]'
 # From an answer through its list and an object to the object's fields.
-DEEPEST = 5
+MAX_DEPTH = 5
 
 
-def salvaged(text: str, depth: int = DEEPEST):
+def parse_partial(text: str, depth: int = MAX_DEPTH):
     """Return the value of a JSON text, with None for what can't be read."""
     text = text.strip()
     try:
@@ -25,17 +25,17 @@
         pass
     if not depth or text[:1] not in ('{', '['):
         return None
-    parts = _split(text)
+    parts = _split_items(text)
     if text.startswith('['):
-        return [salvaged(value, depth - 1) for _name, value in parts]
+        return [parse_partial(value, depth - 1) for _name, value in parts]
     return {
-        name: salvaged(value, depth - 1)
+        name: parse_partial(value, depth - 1)
         for name, value in parts
         if name is not None
     }
 
 
-def _split(text):
+def _split_items(text):
     """Return (name, value) for each part inside the outermost brackets.
 
     Both are texts; the name is None in a list, or if it can't be read.
@@ -44,15 +44,15 @@
     name = None
     level = 0
     start = 1
-    for token in TOKENS.finditer(text):
-        sign = token.group()
-        if sign in OPENING:
+    for token in TOKEN_PATTERN.finditer(text):
+        symbol = token.group()
+        if symbol in OPENING:
             level += 1
-        elif sign in CLOSING:
+        elif symbol in CLOSING:
             level -= 1
-        is_end = level == 0 or (level == 1 and sign == ',')
-        if level == 1 and sign == ':':
-            name = salvaged(text[start : token.start()], 0)
+        is_end = level == 0 or (level == 1 and symbol == ',')
+        if level == 1 and symbol == ':':
+            name = parse_partial(text[start : token.start()], 0)
             start = token.end()
         elif is_end:
             value = text[start : token.start()]
--- a/src/liftmount/platform/settings.py
+++ b/src/liftmount/platform/settings.py
@@ -18,9 +18,9 @@
 # The port that deploy/system.toml names; the settings hold none for it.
 METRICS_PORT = 9102
 # Names the rules on targets that say that they are well.
-HEALTH_PART = 'health'
+HEALTH_CONTRACT = 'health'
 # Where the file names no bound for changes: the tightest one in use.
-CHANGE_BOUND_MS = 3_000
+DEFAULT_CHANGE_BOUND_MS = 3_000
 
 
 def load_settings(path: str) -> EntrySettings:
@@ -31,18 +31,18 @@
     try:
         with open(path, encoding='utf-8') as stream:
             document = _parse(stream.read())
-        return _read(Fields(path, document))
+        return _read_settings(Fields(path, document))
     except OSError as error:
-        raise _refused(path, error.strerror or str(error)) from error
+        raise _make_error(path, error.strerror or str(error)) from error
     except ValueError as error:
-        raise _refused(path, f'not JSON or TOML: {error}') from error
+        raise _make_error(path, f'not JSON or TOML: {error}') from error
     except StoredObjectError as error:
-        raise _refused(
+        raise _make_error(
             path, error.message, error.field, repr(error.value)
         ) from error
 
 
-def _refused(path, message, field='(file)', value=''):
+def _make_error(path, message, field='(file)', value=''):
     # A start does without, unless there is something to refuse.
     from liftmount._internal.models.problems import Problem
 
@@ -58,25 +58,25 @@
     return tomllib.loads(text)
 
 
-def _read(fields):
-    listen = fields.part('listen')
+def _read_settings(fields):
+    listen = fields.section('listen')
     packets = listen.endpoint('packets')
     # The first of the ports that are kept free for us, alike everywhere.
-    port = fields.numbers('ephemeral_ports')[0]
+    port = fields.integers('ephemeral_ports')[0]
     # Seeds come as other addresses of the same machines.
     seeds = [Endpoint(one.ip, port) for one in fields.endpoints('seeds')]
-    bounds = fields.part('bounds')
+    bounds = fields.section('bounds')
     change_bound_ms = min(
-        bounds.number(name, CHANGE_BOUND_MS)
+        bounds.number(name, DEFAULT_CHANGE_BOUND_MS)
         for name in ('drain_ms', 'config_ms')
     )
     return EntrySettings(
-        name=fields.text('node_name'),
-        failure_domain=fields.text('zone'),
+        name=fields.string('node_name'),
+        failure_domain=fields.string('zone'),
         packets=packets,
         readiness=listen.endpoint('ready'),
         metrics=Endpoint(packets.ip, METRICS_PORT),
-        store=fields.part('platform').endpoint('address'),
+        store=fields.section('platform').endpoint('address'),
         peer=Endpoint(packets.ip, port),
         seeds=tuple(seeds),
         flow_max_age_ms=bounds.number('max_flow_s') * MS_PER_S,
@@ -84,7 +84,9 @@
         change_bound_ms=min(
             change_bound_ms, bounds.number('evacuate_ms', change_bound_ms)
         ),
-        regions=fields.names('zones'),
-        shares_doubts=HEALTH_PART in fields.texts('contracts'),
-        link_megabits_per_s=fields.part('limits').fraction('link_mbps', 0),
+        regions=fields.string_map('zones'),
+        shares_doubts=HEALTH_CONTRACT in fields.strings('contracts'),
+        link_megabits_per_s=fields.section('limits').float_number(
+            'link_mbps', 0
+        ),
     )
--- a/src/liftmount/platform/start.py
+++ b/src/liftmount/platform/start.py
@@ -11,9 +11,9 @@
 from liftmount._internal.services.early import EarlyServing
 from liftmount._internal.services.early import make_early
 from liftmount._internal.utils.import_turns import ImportTurns
-from liftmount.platform import heads
+from liftmount.platform import packet_headers
 from liftmount.platform.feeds import SOURCES
-from liftmount.platform.first_lists import FirstList
+from liftmount.platform.initial_lists import InitialList
 from liftmount.platform.settings import load_settings
 
 STATUS_USAGE = 2
@@ -31,17 +31,17 @@
         for problem in error.problems:
             print(f'liftmount: {problem}', file=sys.stderr)
         return STATUS_USAGE
-    early = make_early(settings, heads, bound)
-    early.stops = stops
+    startup = make_early(settings, packet_headers, bound)
+    startup.stops = stops
     lists = {
-        feed: FirstList(
-            settings.store, early.clock, kind, read, early.note_problems
+        feed: InitialList(
+            settings.store, startup.clock, kind, read, startup.note_problems
         )
         for feed, (kind, read) in SOURCES.items()
     }
     # asyncio loads OpenSSL if it finds it: 5 MB that nothing here needs.
     sys.modules.setdefault('ssl', None)
-    serving = EarlyServing(early, lists)
+    serving = EarlyServing(startup, lists)
     with ImportTurns(serving.turn):
         from liftmount.platform.daemon import main
     serving.turn()
@@ -49,4 +49,4 @@
     # Nothing that is imported is ever collected.
     gc.freeze()
     gc.enable()
-    return main(path, early)
+    return main(path, startup)
--- a/src/liftmount/platform/store.py
+++ b/src/liftmount/platform/store.py
@@ -143,17 +143,17 @@
         if expected_version == 0:
             name = key.partition('/')[2]
             document = {'meta': {'name': name}, 'spec': value}
-            answer = await self._call(
+            response = await self._call(
                 'POST', object_path(_kind(key)), body=document
             )
         else:
             meta = {'revision': expected_version}
             document = {'meta': meta, 'spec': value}
-            answer = await self._call('PUT', object_path(key), body=document)
-        if answer is None:
+            response = await self._call('PUT', object_path(key), body=document)
+        if response is None:
             # It was there when its version was read.
             raise ConflictError(key, None)
-        return read_object(_kind(key), answer.document).version
+        return read_object(_kind(key), response.document).version
 
     async def delete(self, key: str, expected_version: int) -> None:
         """Delete an object if its version is ``expected_version``."""
@@ -171,7 +171,7 @@
             if self._count is not None:
                 self._count()
             try:
-                answer = await self._exchange(
+                response = await self._exchange(
                     address, method, path, timeout_ms, body
                 )
             except HttpError as error:
@@ -181,10 +181,10 @@
                     # It may have taken effect; whoever asked reads back.
                     break
                 continue
-            document = _checked(method, path, answer)
+            document = _check_response(method, path, response)
             if document is None:
                 return None
-            return _Reply(document, answer.lasted_ms, len(answer.body))
+            return _Reply(document, response.lasted_ms, len(response.body))
         raise PlatformUnavailableError(str(failure)) from failure
 
     async def _exchange(self, address, method, path, timeout_ms, body):
@@ -207,15 +207,15 @@
     return key.partition('/')[0]
 
 
-def _checked(method, path, answer):
-    status = answer.status
+def _check_response(method, path, response):
+    status = response.status
     if status == HTTP_NOT_FOUND:
         return None
     if status == HTTP_GONE:
         raise HistoryGoneError(f'{path}: status {status}')
     if status == HTTP_TOO_MANY_REQUESTS or status >= HTTP_SERVER_ERROR:
         raise PlatformUnavailableError(f'{method} {path}: status {status}')
-    document = read_document(path, answer.body)
+    document = read_document(path, response.body)
     if status == HTTP_CONFLICT:
         kind, _slash, name = path.removeprefix('/objects/').partition('/')
         current = read_object(kind, document)
--- a/src/liftmount/platform/store_feed.py
+++ b/src/liftmount/platform/store_feed.py
@@ -7,7 +7,7 @@
 from liftmount._internal.models.records import changed
 from liftmount._internal.utils.metrics import Metrics
 from liftmount.platform.feeds import decode_all
-from liftmount.platform.feeds import note_nameless
+from liftmount.platform.feeds import make_unnamed_recorder
 from liftmount.platform.feeds import SOURCES
 from liftmount.platform.store import PlatformStore
 
@@ -15,21 +15,21 @@
 class StoreFeed:
     """Follows the objects of one kind over a connection of its own.
 
-    ``read`` and ``note`` are as in decode_all.  An object that can't be
+    ``read`` and ``record_problems`` are as in decode_all.  An object that can't be
     used counts as if it were not there.
     """
 
-    def __init__(self, store: PlatformStore, kind: str, read, note):
+    def __init__(self, store: PlatformStore, kind: str, read, record_problems):
         self._store = store
         self._kind = kind
         self._read = read
-        self._note = note
+        self._record_problems = record_problems
 
     async def fetch(self, may_lag: bool, timeout_ms: float) -> Listing:
         """Return all objects of the kind; raises PlatformError."""
         listing = await self._store.list(self._kind, may_lag, timeout_ms)
         decoded = self._decode(listing.items)
-        return changed(listing, items=decoded.good, may_lag=may_lag)
+        return changed(listing, items=decoded.accepted, may_lag=may_lag)
 
     async def watch(
         self, revision: int, wait_ms: int, timeout_ms: float
@@ -43,11 +43,11 @@
         )
         decoded = self._decode(delta.written)
         for name in delta.removed:
-            self._note(f'{self._kind}/{name}', delta.revision, ())
+            self._record_problems(f'{self._kind}/{name}', delta.revision, ())
         return changed(
             delta,
-            written=decoded.good,
-            removed=(*delta.removed, *decoded.bad),
+            written=decoded.accepted,
+            removed=(*delta.removed, *decoded.rejected),
         )
 
     def set_address(self, address: Endpoint) -> None:
@@ -59,18 +59,20 @@
         self._store.close()
 
     def _decode(self, stored):
-        return decode_all(stored, self._read, self._note)
+        return decode_all(stored, self._read, self._record_problems)
 
 
-def make_feeds(settings: EntrySettings, note, metrics: Metrics) -> dict:
+def make_feeds(
+    settings: EntrySettings, record_problems, metrics: Metrics
+) -> dict:
     """Return the feeds of all kinds by name."""
 
     def feed(kind, read):
         store = PlatformStore(
             [settings.store],
             count=lambda: metrics.count(f'store_calls.{kind}'),
-            report=note_nameless(note),
+            report=make_unnamed_recorder(record_problems),
         )
-        return StoreFeed(store, kind, read, note)
+        return StoreFeed(store, kind, read, record_problems)
 
     return {name: feed(*source) for name, source in SOURCES.items()}
--- a/tests/features/steps/adapter_steps.py
+++ b/tests/features/steps/adapter_steps.py
@@ -25,8 +25,8 @@
 from liftmount._internal.models.segments import RouteKind
 from liftmount._internal.models.segments import WarmUp
 from liftmount.platform import documents
-from liftmount.platform import heads
 from liftmount.platform import objects
+from liftmount.platform import packet_headers
 from liftmount.platform import settings
 from tests.features.steps.forwarding_steps import make_entry
 
@@ -122,7 +122,7 @@
 
 @when('a packet with known fields is read')
 def read_packet(context):
-    context.segment = heads.read(HEAD + PAYLOAD)
+    context.segment = packet_headers.read(HEAD + PAYLOAD)
 
 
 @then('each field of the segment has its value')
@@ -141,9 +141,9 @@
 def pass_on(context, number):
     context.number = int(number, 16)
     entry = make_entry('one', 'guide', number=context.number)
-    segment = heads.read(HEAD + PAYLOAD)
+    segment = packet_headers.read(HEAD + PAYLOAD)
     action = flows.Forward(segment, entry, 0x01020304)
-    context.datagram = heads.forwarded(action)
+    context.datagram = packet_headers.encode_forward(action)
 
 
 @then('eight bytes name the target, and only the tag differs')
@@ -164,7 +164,9 @@
         sequence=number,
         reason=flows.RefusalReason.NO_ROUTE,
     )
-    context.reset = struct.unpack('<IIHIHIHIIBB', heads.reset(action))
+    context.reset = struct.unpack(
+        '<IIHIHIHIIBB', packet_headers.encode_reset(action)
+    )
 
 
 @then('the reset has number {number:d}, no data, no sum and only its own flag')
@@ -182,7 +184,7 @@
     for _ in range(count):
         datagram = rng.randbytes(rng.randrange(0, 80))
         try:
-            context.kinds.add(type(heads.read(datagram)).__name__)
+            context.kinds.add(type(packet_headers.read(datagram)).__name__)
         except PacketError:
             context.kinds.add('PacketError')
 
@@ -261,7 +263,7 @@
         assert not context.result.health_paths, context.result
     if field.startswith('limits'):
         limit_ms = context.result.idle_limit_ms
-        assert limit_ms == objects.IDLE_LIMIT_MS, context.result
+        assert limit_ms == objects.DEFAULT_IDLE_TIMEOUT_MS, context.result
 
 
 @then('its first route is served as {kind}, and {count:d} problems are told')
--- a/tests/features/steps/bundling_steps.py
+++ b/tests/features/steps/bundling_steps.py
@@ -13,11 +13,11 @@
 from behave import when
 
 from bundling.__main__ import build
+from bundling.plain_classes import convert_module
 from bundling.plain_classes import UnsupportedClassError
-from bundling.plain_classes import write_out
 from liftmount.platform.launcher import ARCHIVE
 from liftmount.platform.launcher import DEPENDENCIES
-from liftmount.platform.launcher import HEAD_BYTES
+from liftmount.platform.launcher import HEADER_BYTES
 from liftmount.platform.launcher import PROGRAM
 
 # Features on what a balancer on the platform decides.
@@ -97,7 +97,7 @@
 
 @when('it is written out')
 def write_class(context):
-    plain = write_out(context.source, 'sample')
+    plain = convert_module(context.source, 'sample')
     assert 'attrs' not in plain, plain
     context.forms = (run_class(context.source), run_class(plain))
 
@@ -174,7 +174,7 @@
 def write_bad(context, text):
     context.error = None
     try:
-        write_out(BAD_SOURCES[text], 'sample')
+        convert_module(BAD_SOURCES[text], 'sample')
     except UnsupportedClassError as error:
         context.error = error
 
@@ -247,7 +247,7 @@
 @then('the code until the first packet is at most {limit_kb:d} KB')
 def code_size(context, limit_kb):
     path = context.target / PROGRAM / ARCHIVE
-    _version, index = marshal.loads(path.read_bytes()[:HEAD_BYTES])
+    _version, index = marshal.loads(path.read_bytes()[:HEADER_BYTES])
     loaded = set(context.modules) & set(index)
     size_bytes = sum(index[name][1] for name in loaded)
     assert size_bytes <= 1_024 * limit_kb, size_bytes
@@ -263,7 +263,7 @@
             path.write_bytes(path.read_bytes()[:100])
         case 'made by another Python':
             head = marshal.dumps(('2.7', {}))
-            path.write_bytes(head.ljust(HEAD_BYTES, b'\0'))
+            path.write_bytes(head.ljust(HEADER_BYTES, b'\0'))
     context.done = run_prepared(context, LIST_LOADERS)
 
 
--- a/tests/features/steps/early_steps.py
+++ b/tests/features/steps/early_steps.py
@@ -15,10 +15,10 @@
 from liftmount._internal.models.feeds import TARGETS
 from liftmount._internal.services.early import EarlyServing
 from liftmount._internal.services.early import make_early
-from liftmount.platform import heads
+from liftmount.platform import packet_headers
 from liftmount.platform.feeds import SOURCES
-from liftmount.platform.first_lists import FirstList
-from liftmount.platform.launcher import bind_early
+from liftmount.platform.initial_lists import InitialList
+from liftmount.platform.launcher import bind_packet_socket
 from stand_ins.addresses import make_run_addresses
 from stand_ins.store import StoreThread
 from tests.features.steps.adapter_steps import CONFIGURATION
@@ -79,12 +79,12 @@
 
 def start_early(context):
     """Start a balancer, with its lists under way."""
-    early = make_early(make_settings(context), heads)
+    early = make_early(make_settings(context), packet_headers)
     context.add_cleanup(early.path.socket.close)
     if early.readiness is not None:
         context.add_cleanup(early.readiness.close)
     lists = {
-        feed: FirstList(
+        feed: InitialList(
             early.settings.store, early.clock, kind, read, early.note_problems
         )
         for feed, (kind, read) in SOURCES.items()
@@ -120,7 +120,7 @@
     values = [*HEAD_VALUES]
     values[2] = 0
     values[-2] = SYN
-    context.opening = heads.HEAD.pack(*values)
+    context.opening = packet_headers.HEADER.pack(*values)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as client:
         place = endpoint(context, BALANCER, PACKETS)
         client.sendto(context.opening, place.socket_address())
@@ -156,7 +156,7 @@
         return True
 
     assert take_turns(context, arrived)
-    assert heads.read(got[0][8:]).opens, got
+    assert packet_headers.read(got[0][8:]).opens, got
 
 
 @when('the store {trouble}, and a balancer takes turns for {interval:d} ms')
@@ -193,14 +193,14 @@
         'another one': str(endpoint(context, TARGET, PACKETS)),
         'no good address': '127.0.0.1',
     }
-    context.bound = bind_early(places[address])
+    context.bound = bind_packet_socket(places[address])
     assert (context.bound is None) == (address == 'no good address')
 
 
 @when('a balancer starts with that socket')
 def start_with_socket(context):
     settings = make_settings(context)
-    context.early = make_early(settings, heads, context.bound)
+    context.early = make_early(settings, packet_headers, context.bound)
     context.add_cleanup(context.early.path.socket.close)
     context.add_cleanup(context.early.readiness.close)
 
--- a/tests/features/steps/pieces_steps.py
+++ b/tests/features/steps/pieces_steps.py
@@ -24,7 +24,7 @@
 from liftmount.platform import documents
 from liftmount.platform import objects
 from liftmount.platform.feeds import decode_all
-from liftmount.platform.feeds import note_nameless
+from liftmount.platform.feeds import make_unnamed_recorder
 from tests.features.steps.adapter_steps import CONFIGURATION
 from tests.features.steps.adapter_steps import ENTRY
 from tests.features.steps.adapter_steps import JSON
@@ -63,7 +63,7 @@
         """Read the body of an answer with one function of documents."""
         page = documents.read_document('/objects/servers', body)
         kind = objects.TARGET_KIND
-        report = note_nameless(self.left_out.note)
+        report = make_unnamed_recorder(self.left_out.note)
         return read(kind, page, *arguments, report)
 
     def decode(self, stored):
@@ -100,7 +100,7 @@
 
 @then('the good entry is read, and {left_out} is left out')
 def good_is_read(context, left_out):
-    assert [one.name for one in context.decoded.good] == ['i-1']
+    assert [one.name for one in context.decoded.accepted] == ['i-1']
     (key,) = context.pieces.left_out.objects
     (field,) = context.pieces.left_out.objects[key].fields
     assert left_out in (key, field), (key, field)
@@ -108,7 +108,7 @@
 
 @then('the target of the bad entry is told as removed')
 def told_as_removed(context):
-    assert context.decoded.bad == ('i-bad',), context.decoded
+    assert context.decoded.rejected == ('i-bad',), context.decoded
 
 
 @when('a page of a list that goes on names nothing')
@@ -201,7 +201,7 @@
         body = body_of('items', [*others, GOOD, *others])
         pieces = Pieces()
         listing = pieces.read(documents.read_list, body)
-        names = [one.name for one in pieces.decode(listing.items).good]
+        names = [one.name for one in pieces.decode(listing.items).accepted]
         assert names == ['i-1'], names
         context.lists += 1
 
--- a/tests/features/steps/process_steps.py
+++ b/tests/features/steps/process_steps.py
@@ -17,7 +17,7 @@
 from behave import when
 import tomli_w
 
-from liftmount.platform import heads
+from liftmount.platform import packet_headers
 from liftmount.platform.settings import METRICS_PORT
 from stand_ins.addresses import make_run_addresses
 from stand_ins.store import StoreThread
@@ -56,14 +56,14 @@
                 continue
             packet = data[8:]
             self.got.append(packet)
-            segment = heads.read(packet)
+            segment = packet_headers.read(packet)
             if segment.opens:
-                answer = heads.HEAD.pack(
+                answer = packet_headers.HEADER.pack(
                     1_000,
                     segment.sequence + 1,
                     0,
-                    *heads.HEAD.unpack_from(packet)[5:7],
-                    *heads.HEAD.unpack_from(packet)[3:5],
+                    *packet_headers.HEADER.unpack_from(packet)[5:7],
+                    *packet_headers.HEADER.unpack_from(packet)[3:5],
                     segment.tag,
                     0,
                     SYN | ACK,
@@ -168,8 +168,10 @@
 
     def open(self):
         """Send an opening; return the segment that comes back."""
-        self.send(heads.HEAD.pack(10, 0, 0, *self.ends, 0, 77, SYN, 0))
-        return heads.read(self._socket.recv(2_048))
+        self.send(
+            packet_headers.HEADER.pack(10, 0, 0, *self.ends, 0, 77, SYN, 0)
+        )
+        return packet_headers.read(self._socket.recv(2_048))
 
 
 class PlatformDeployment:
@@ -329,7 +331,7 @@
         tag = client.open().tag
         for index in range(count):
             payload = f'part {index}'.encode()
-            head = heads.HEAD.pack(
+            head = packet_headers.HEADER.pack(
                 11 + index, 1_001, len(payload), *client.ends, tag, 78, ACK, 0
             )
             context.sent.append(head + payload)
--- a/tests/features/steps/transfer_steps.py
+++ b/tests/features/steps/transfer_steps.py
@@ -159,7 +159,7 @@
     first = context.serving._lists[ROUTES]
 
     def has_begun():
-        return first.is_asked and first._began_ms is not None
+        return first.is_request_sent and first._began_ms is not None
 
     assert take_turns(context, has_begun)
     assert not context.early.path.state.is_complete
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -179,7 +179,7 @@
     ),
     Mutation(
         'soak: the number of the meant target is left out',
-        '../platform/heads.py',
+        '../platform/packet_headers.py',
         "action.target.number.to_bytes(NUMBER_BYTES, 'big')",
         'bytes(NUMBER_BYTES)',
         SOAK,
@@ -187,7 +187,7 @@
     ),
     Mutation(
         'soak: the tag is not written',
-        '../platform/heads.py',
+        '../platform/packet_headers.py',
         'TAG.pack(action.tag)',
         'TAG.pack(0)',
         SOAK,
