--- a/bundling/__init__.py
+++ b/bundling/__init__.py
@@ -1,7 +1,7 @@
-"""Turns the source into the form that is deployed.
+"""Builds the deployed form of the program.
 
-A start on a small instance is bound by what Python does at imports.  Two
-steps take that away without a change of the source: ``plain_classes``
-writes out the classes that attrs would make at each start, and ``archive``
-puts the compiled modules into one file, which ``launcher`` reads.
+Imports dominate the start time on a small instance.  ``plain_classes``
+replaces attrs classes by plain ones, so that none are generated at start.
+``archive`` puts the compiled modules into one file, which
+``liftmount.platform.launcher`` loads.  The source stays unchanged.
 """
--- a/bundling/__main__.py
+++ b/bundling/__main__.py
@@ -1,6 +1,6 @@
-"""Builds what is deployed: ``python3 -m bundling TARGET``.
+"""Builds the deployed program: ``python3 -m bundling TARGET``.
 
-``TARGET/deps`` holds the dependencies; ``TARGET/balancer`` is made.
+``TARGET/deps`` must hold the dependencies; ``TARGET/balancer`` is written.
 """
 
 from pathlib import Path
@@ -18,7 +18,7 @@
 
 
 def copy_package(program: Path, dependencies: Path) -> None:
-    """Copy the package, with the classes of a balancer written out."""
+    """Copy the package; convert the modules that a balancer imports."""
     shutil.copytree(SOURCE / PACKAGE, program / PACKAGE)
     for name in list_modules(program, dependencies):
         if name.partition('.')[0] != PACKAGE:
@@ -31,9 +31,10 @@
 
 
 def build(target: Path) -> int:
-    """Build beside the old program, then swap; return the module count.
+    """Build the program in ``target``; return the number of modules.
 
-    A process that starts meanwhile finds a whole program.
+    The new program is built beside the old one and then renamed, so that a
+    process that starts during the build never sees an incomplete program.
     """
     new = target / 'new' / PROGRAM
     shutil.rmtree(new.parent, ignore_errors=True)
--- a/bundling/archive.py
+++ b/bundling/archive.py
@@ -1,4 +1,4 @@
-"""Puts compiled modules into one file for ``liftmount.platform.launcher``."""
+"""Writes the archive of compiled modules for ``platform.launcher``."""
 
 from importlib.machinery import FrozenImporter
 import marshal
@@ -13,7 +13,7 @@
 from liftmount.platform.launcher import LIBRARY
 from liftmount.platform.launcher import PROGRAM
 
-# What a balancer imports from its start on, in this order.
+# Modules whose imports cover those of a balancer, in import order.
 ENTRIES = (
     'liftmount.platform.__main__',
     'liftmount.platform.start',
@@ -21,23 +21,28 @@
     'liftmount._internal.services.group',
     'liftmount._internal.services.metrics_page',
 )
-# Prints the modules that come to those that the interpreter brings.
+# Prints the modules that imports add to those loaded at interpreter start.
+# The program runs without ssl, see platform/start.py.
 LIST_MODULES = """
 import sys
-brought = set(sys.modules)
+preloaded = set(sys.modules)
 sys.modules['ssl'] = None
 from importlib import import_module
 for name in sys.argv[1:]:
     import_module(name)
 loaded = {name for name, module in sys.modules.items() if module}
-print('\\n'.join(sorted(loaded - brought)))
+print('\\n'.join(sorted(loaded - preloaded)))
 """
-# Docstrings and assertions are for those who read the source.
+# Strips docstrings and assertions.
 OPTIMIZE = 2
 
 
 def list_modules(program: Path, dependencies: Path) -> list[str]:
-    """Return the names of the modules that a balancer imports."""
+    """Return the names of all modules that a balancer imports.
+
+    They are imported in a new interpreter without site-packages.  Raises
+    CalledProcessError if an import fails.
+    """
     done = subprocess.run(
         [sys.executable, '-S', '-P', '-c', LIST_MODULES, *ENTRIES],
         env={'PYTHONPATH': f'{program}{os.pathsep}{dependencies}'},
@@ -49,9 +54,12 @@
 
 
 def write_archive(program: Path, dependencies: Path) -> int:
-    """Write the archive of a program; return how many modules it holds.
+    """Write the archive of a program; return the number of modules.
 
-    Modules that aren't written in Python are left out.
+    The archive starts with a marshalled header, padded to HEADER_BYTES:
+    the version of Python and the index that launcher.Archive describes.
+    The marshalled code objects follow.  Modules without a Python source are
+    left out.  Raises ValueError if the header exceeds HEADER_BYTES.
     """
     roots = {
         PROGRAM: program,
@@ -71,7 +79,7 @@
         offset += len(code)
     header = marshal.dumps((sys.version, index))
     if len(header) > HEADER_BYTES:
-        raise ValueError(f'an index of {len(header)} bytes')
+        raise ValueError(f'archive header too long: {len(header)} bytes')
     data = header.ljust(HEADER_BYTES, b'\0') + b''.join(codes)
     (program / ARCHIVE).write_bytes(data)
     return len(index)
@@ -83,9 +91,9 @@
 
 
 def _find_source(name, roots):
-    """Return the source of a module, None if there is none.
+    """Return the path of a module's source, None if it has none.
 
-    Modules that are frozen into the interpreter need none.
+    Modules that are frozen into the interpreter need no archived code.
     """
     if FrozenImporter.find_spec(name) is not None:
         return None
@@ -98,10 +106,13 @@
 
 
 def _locate_package(path, roots):
-    """Return the root and folder of a package, empty for other modules."""
+    """Return the root's name and the folder of a package.
+
+    Both are empty for a module that is not a package.
+    """
     if path.name != '__init__.py':
         return '', ''
     for name, root in roots.items():
         if path.is_relative_to(root):
             return name, str(path.parent.relative_to(root))
-    raise ValueError(f'{path} lies outside {roots}')
+    raise ValueError(f'{path} is outside of {roots}')
--- a/bundling/plain_classes.py
+++ b/bundling/plain_classes.py
@@ -1,10 +1,9 @@
-"""Writes classes of attrs out as plain ones.
+"""Converts attrs classes in a module's source to plain classes.
 
-The result behaves as the source does but for two things that the source's
-own tests see to: frozen classes aren't protected against changes, and
-there is nothing that lists a class's fields, such as ``attrs.fields``.
-What can't be written out is an error, so that a build never deploys
-something else than was tested.
+The result behaves like the source with two exceptions: instances of frozen
+classes can be modified, and ``attrs.fields`` does not work on the classes.
+A class or statement that can't be converted raises an error, so that a build
+never deploys code that behaves differently from the tested source.
 """
 
 import ast
@@ -14,28 +13,29 @@
 ATTRS = 'attrs'
 DECORATORS = {'define', 'frozen', 'message'}
 MESSAGE_MODULE = 'liftmount._internal.models.records'
+# Hooks that attrs calls or generates in a constructor.
 UNSUPPORTED = {'__attrs_post_init__', '__attrs_pre_init__', '__attrs_init__'}
 
 
 class UnsupportedClassError(Exception):
-    """A class that can't be written out."""
+    """The source has a class or statement that can't be converted."""
 
 
 @frozen
 class Field:
-    """A field of a class, and the parameter that sets it."""
+    """A field of an attrs class, with its default."""
 
     name: str
     default: ast.expr | None
 
     @property
     def parameter(self) -> str:
-        """Return the name that ``__init__`` takes for the field."""
+        """Return the name of the parameter of ``__init__``."""
         return self.name.lstrip('_')
 
     @property
     def factory(self) -> ast.Call | None:
-        """Return the call that declares how the default is made."""
+        """Return the ``Factory()`` call of the default, if there is one."""
         value = self.default
         if isinstance(value, ast.Call) and _get_name(value.func) == 'Factory':
             return value
@@ -43,9 +43,9 @@
 
 
 def convert_module(source: str, where: str) -> str:
-    """Return a module's source without attrs.
+    """Return a module's source with attrs classes made plain.
 
-    Raises UnsupportedClassError, which says ``where`` the class stands.
+    Raises UnsupportedClassError; ``where`` names the module in its text.
     """
     tree = ast.parse(source)
     if not _uses_attrs(tree):
@@ -71,7 +71,7 @@
 
 
 def _convert_statement(node, where):
-    """Return the statements that take the place of one."""
+    """Return the statements that replace a statement of a module."""
     match node:
         case ast.ImportFrom(module='attrs'):
             _check_imports(node, where)
@@ -91,11 +91,13 @@
     unknown = {one.name for one in node.names} - {*DECORATORS, 'Factory'}
     if unknown:
         names = ', '.join(sorted(unknown))
-        raise UnsupportedClassError(f'{where}:{node.lineno}: {names}')
+        raise UnsupportedClassError(
+            f'{where}:{node.lineno}: unsupported import: {names}'
+        )
 
 
 def _reject_attrs(node, where):
-    """Raise an error if a statement would miss what attrs defines."""
+    """Raise UnsupportedClassError if a statement refers to attrs."""
     for part in ast.walk(node):
         if isinstance(part, ast.Name) and part.id in ('attrs', 'Factory'):
             raise UnsupportedClassError(f'{where}:{node.lineno}: {part.id}')
@@ -106,7 +108,7 @@
 
 
 def _find_decorator(node):
-    """Return the decorator of attrs that a class has."""
+    """Return the attrs decorator of a class, None if it has none."""
     for one in node.decorator_list:
         if _get_decorator_name(one) in DECORATORS:
             return one
@@ -120,7 +122,7 @@
 
 
 def _read_options(decorator):
-    """Return the keywords that a decorator is called with."""
+    """Return the values of a decorator's keyword arguments."""
     if not isinstance(decorator, ast.Call):
         return {}
     return {one.arg: one.value.value for one in decorator.keywords}
@@ -133,7 +135,9 @@
     has_own = kind != 'message'
     unknown = set(options) - {'eq', 'repr'}
     if unknown or len(node.decorator_list) > 1:
-        raise UnsupportedClassError(f'{where}: {node.name}: its decorators')
+        raise UnsupportedClassError(
+            f'{where}: {node.name}: unsupported decorators'
+        )
     fields, rest = _split_body(node, where)
     made = [_make_slots(fields), _make_match_args(fields), _make_init(fields)]
     if has_own and options.get('eq', True):
@@ -148,7 +152,7 @@
 
 
 def _split_body(node, where):
-    """Return the fields of a class, and its other statements."""
+    """Return (fields, other statements) of a class body."""
     fields = []
     rest = []
     for one in node.body:
@@ -184,7 +188,11 @@
 
 
 def _make_init(fields):
-    """Return ``__init__``; a default that is made has its place in it."""
+    """Return ``__init__``.
+
+    A parameter whose default comes from a factory defaults to ``...``; the
+    factory is called in the body.
+    """
     parameters = ['self']
     lines = []
     for one in fields:
@@ -211,7 +219,7 @@
 
 
 def _make_comparison(fields, is_hashable):
-    """Return ``__eq__`` and ``__hash__`` over all fields."""
+    """Return ``__eq__`` and ``__hash__``, which cover all fields."""
     own = _format_tuple('self', fields)
     other = _format_tuple('other', fields)
     text = (
--- a/src/liftmount/platform/__init__.py
+++ b/src/liftmount/platform/__init__.py
@@ -1,11 +1,16 @@
-"""The adapter to the users' platform: it translates and decides nothing.
+"""The adapter to the users' platform: translation only, no decisions.
 
-``heads`` reads and writes the heads of packets, ``store`` speaks to the
-platform's store, ``feeds`` follows routes and targets in it, ``objects``
-turns what lies there into the project's types, ``settings`` reads the
-settings of a process, and ``__main__`` starts it.  ``programs`` is the
-entry of the programs that keep their own objects in the store.  Nothing
-outside this folder knows the platform's names.
+- ``packet_headers`` reads and writes the headers of packets.
+- ``store`` is the client of the platform's store, ``documents`` reads its
+  responses and ``partial_json`` those that are not valid JSON.
+- ``objects`` converts stored objects into the types of this package.
+- ``store_feed`` lists and watches the objects of each feed in ``feeds``;
+  ``initial_lists`` reads the first lists during a start.
+- ``settings`` reads the settings of a process.
+- ``launcher``, ``__main__``, ``start`` and ``daemon`` start a balancer;
+  ``programs`` starts the programs that keep their own objects in the store.
+
+No other package uses the platform's names.
 """
 
 __all__ = ()
--- a/src/liftmount/platform/__main__.py
+++ b/src/liftmount/platform/__main__.py
@@ -12,15 +12,15 @@
 def start(bound=None) -> int:
     """Run a balancer; return the exit status.
 
-    ``bound`` is the RawSocket for packets if it is bound already.
+    ``bound`` is the RawSocket for packets if it is already bound.
     """
-    # Until they are handled, these signals would end the process, which
-    # serves packets long before its event loop runs.  A stop is begun then;
-    # what SIGHUP announces is read when the settings are.
+    # Packets are served before the event loop can handle signals, whose
+    # default action would end the process.  SIGTERM is recorded for the event
+    # loop; SIGHUP is ignored, as the settings are read after this.
     stops = []
     signal.signal(signal.SIGTERM, lambda number, _frame: stops.append(number))
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    # A collection during the imports would find nothing.
+    # Garbage collection during the imports would free nothing.
     gc.disable()
     from liftmount.platform.start import serve
 
--- a/src/liftmount/platform/daemon.py
+++ b/src/liftmount/platform/daemon.py
@@ -1,4 +1,4 @@
-"""A balancer on the platform: its settings and the parts that translate."""
+"""A balancer on the platform, with its settings and the adapter."""
 
 import asyncio
 import os
@@ -29,9 +29,9 @@
 
 
 def main(path: str, startup: EarlyBalancer) -> int:
-    """Run a balancer with the settings at ``path``; return its status.
+    """Run a balancer with the settings at ``path``; return its exit status.
 
-    ``startup`` is what serves already.
+    ``startup`` is the context that already serves packets.
     """
     asyncio.run(EntryBalancer(make_adapter(path), startup).run())
     return 0
--- a/src/liftmount/platform/documents.py
+++ b/src/liftmount/platform/documents.py
@@ -1,4 +1,4 @@
-"""Documents that the platform's store sends: objects, lists, changes."""
+"""Reads the JSON documents of the platform's store, and builds its paths."""
 
 import json
 
@@ -13,7 +13,7 @@
 
 
 def object_path(key: str, query: dict | None = None) -> str:
-    """Return the path of a kind, or of an object by its key."""
+    """Return the path of a kind, or of an object given by its key."""
     kind, slash, name = key.partition('/')
     text = '&'.join(f'{one}={value}' for one, value in (query or {}).items())
     path = f'/objects/{kind}{slash}{_quote_name(name)}'
@@ -21,9 +21,10 @@
 
 
 def list_path(kind: str, after: str, may_lag: bool) -> str:
-    """Return the path of a page of a list, which goes on ``after`` a name.
+    """Return the path of the page of a list that follows the name ``after``.
 
-    A list that ``may_lag`` costs less, and may be some seconds old.
+    The first page follows the empty name.  A list that ``may_lag`` is cheaper
+    for the store, but may be some seconds old.
     """
     query = {'after': _quote_name(after)} if after else {}
     if may_lag:
@@ -32,36 +33,39 @@
 
 
 def _quote_name(name):
-    """Return a name as it stands in a path."""
+    """Return a name quoted for use in a path."""
     if not name:
         return ''
-    # A start does without: it takes 15 ms on a quarter of a core.
+    # Imported here as a start does not need it.
     from urllib.parse import quote
 
     return quote(name, safe='')
 
 
 def read_document(path: str, body: bytes) -> dict:
-    """Read the body of an answer; raises PlatformError naming the call.
+    """Return the JSON object in the body of the response for ``path``.
 
-    What one writer left in it that can't be read is None.
+    Values that can't be parsed are None.  Raises PlatformError if the body
+    is not a JSON object.
     """
     try:
         document = json.loads(body)
     except (ValueError, RecursionError):
-        # Hardly ever needed, and a start does without.
+        # Imported here as it is rarely needed.
         from liftmount.platform.partial_json import parse_partial
 
         document = parse_partial(body.decode(errors='replace'))
     if type(document) is not dict:
-        raise PlatformError(f'{path}: expected fields')
+        raise PlatformError(f'{path}: expected a JSON object')
     return document
 
 
 def read_list(kind: str, page: dict, report) -> Listing:
-    """Read one page of a list; raises PlatformError.
+    """Return one page of a list, with StoredObjects as items.
 
-    ``report(error)`` hears of each item that names no object.
+    ``report(error)`` is called with a StoredObjectError for each item
+    without a valid name or revision.  Raises PlatformError if the page itself
+    is invalid.
     """
     items = []
     for index, one in enumerate(_get_list(page, 'items')):
@@ -73,9 +77,11 @@
 
 
 def read_changes(kind: str, page: dict, base: int, report) -> Delta:
-    """Read the answer of a watch; raises PlatformError.
+    """Return the changes in the response to a watch.
 
-    ``report(error)`` hears of each event that names no object.
+    ``base`` is the revision that was watched from.  ``report(error)`` is
+    called with a StoredObjectError for each event without a valid name or
+    revision.  Raises PlatformError if the response itself is invalid.
     """
     latest = {}
     revisions = []
@@ -98,7 +104,7 @@
 
 def _read_event(kind, event):
     if type(event) is not dict:
-        raise PlatformError('an event without fields')
+        raise PlatformError('event: expected a JSON object')
     stored = read_object(kind, event.get('object'))
     return stored, bool(event.get('tombstone'))
 
@@ -111,36 +117,37 @@
 
 
 def _read_revision(page):
-    """Return the revision of the store when it answered."""
+    """Return the revision of the store as of the response."""
     value = page.get('current_rev')
     if type(value) is not int:
-        raise PlatformError(f'current_rev = {value!r}: expected a number')
+        raise PlatformError(f'current_rev = {value!r}: expected an integer')
     return value
 
 
 def read_object(kind: str, document) -> StoredObject:
-    """Read one object; raises PlatformError."""
+    """Return the object in a document; raises PlatformError."""
     try:
         name = document['meta']['name']
         version = document['meta'].get('revision', 0)
     except (AttributeError, KeyError, TypeError) as error:
-        raise PlatformError(f'an object without a name: {error!r}') from error
+        raise PlatformError(f'object without meta.name: {error!r}') from error
     if type(name) is not str:
-        raise PlatformError(f'name = {name!r}: expected a text')
+        raise PlatformError(f'name = {name!r}: expected a string')
     if type(version) is not int:
-        raise PlatformError(f'{name}: revision = {version!r}')
+        raise PlatformError(
+            f'{name}: revision = {version!r}: expected an integer'
+        )
     return StoredObject(f'{kind}/{name}', version, document.get('spec'))
 
 
 @define
 class ListPages:
-    """The pages of a list that have come so far.
+    """The pages of a list that have been received so far.
 
-    ``report(error)`` hears of each item that names no object.
-    ``revision`` is that of the oldest page.  What changed between two pages
-    is watched for from there on; the newest page's would skip it, and pages
-    that may lag can be seconds apart.  ``began_ms`` is when the first page
-    began to arrive, ``size_bytes`` what all pages took.
+    ``report`` is as in read_list.  ``revision`` is the lowest of all pages:
+    a watch from a higher one would miss changes between two pages, which can
+    be seconds apart if they are stale.  ``began_ms`` is when the first page
+    began to arrive, ``size_bytes`` the size of all pages.
     """
 
     kind: str
@@ -151,9 +158,10 @@
     size_bytes: int = 0
 
     def add(self, page: dict, began_ms: int, size_bytes: int) -> str:
-        """Add a page; return after which name to go on, empty at the end.
+        """Add a page; return the name that the next page follows.
 
-        Raises PlatformError.
+        The name is empty after the last page.  Raises PlatformError if the
+        page is invalid.
         """
         if self.began_ms is None:
             self.began_ms = began_ms
@@ -165,12 +173,15 @@
         if not page.get('more_pages'):
             return ''
         if not listing.items:
-            # Where to go on is not known, and the rest must not seem gone.
-            raise PlatformError(f'{self.kind}: a page without any name')
+            # Without a name there is no next page to ask for, and a short
+            # list would make the remaining objects look deleted.
+            raise PlatformError(
+                f'{self.kind}: more pages after a page without valid items'
+            )
         return listing.items[-1].name
 
     def listing(self, now_ms: int) -> Listing:
-        """Return the list."""
+        """Return the list of all pages."""
         age_ms = now_ms - self.began_ms
         return Listing(
             tuple(self.items),
--- a/src/liftmount/platform/feeds.py
+++ b/src/liftmount/platform/feeds.py
@@ -1,4 +1,4 @@
-"""What the platform's store tells: routes, targets, evacuations."""
+"""Decodes the objects of each feed: routes, targets, evacuations."""
 
 from liftmount._internal.exceptions import StoredObjectError
 from liftmount._internal.models.feeds import EVACUATIONS
@@ -13,7 +13,7 @@
 from liftmount.platform.objects import read_target
 from liftmount.platform.objects import TARGET_KIND
 
-# Kind of the objects of each feed, and what reads one.
+# For each feed the kind of its objects and the function that decodes one.
 SOURCES = {
     ROUTES: (CONFIGURATION_KIND, read_routes),
     TARGETS: (TARGET_KIND, read_target),
@@ -23,19 +23,19 @@
 
 @message
 class Decoded(Message):
-    """What stored objects hold, and the names of those that hold nothing."""
+    """Decoded objects, and the names of those that could not be decoded."""
 
     accepted: tuple
     rejected: tuple[str, ...]
 
 
 def decode_all(stored, read, record_problems) -> Decoded:
-    """Turn stored objects into types of the project.
+    """Decode StoredObjects by ``read(name, spec, report)``.
 
-    ``read(name, spec, report)`` raises StoredObjectError if it can use
-    nothing of an object, and reports what it passes over of others.
-    ``record_problems(key, revision, problems)`` hears of all that is wrong with an
-    object, maybe of nothing.
+    ``read`` raises StoredObjectError if an object is unusable, and calls
+    ``report(error)`` for each part of an object that it skips.
+    ``record_problems(key, revision, problems)`` is called for every object,
+    with an empty list if it is valid.
     """
     accepted = []
     rejected = []
@@ -51,5 +51,5 @@
 
 
 def make_unnamed_recorder(record_problems):
-    """Return what notes a part of an answer that names no object."""
+    """Return a callback ``(error)`` for items without a valid name."""
     return lambda error: record_problems(error.name, 0, [error])
--- a/src/liftmount/platform/initial_lists.py
+++ b/src/liftmount/platform/initial_lists.py
@@ -1,7 +1,8 @@
-"""The first lists of the store, read without waiting for them.
+"""The first lists of the store, read without blocking.
 
-A balancer that starts asks before its event loop is imported.  What has not
-come by then is handed over to the feeds; what fails here is asked again.
+A starting balancer requests them before its event loop is imported.  Lists
+that are incomplete by then are passed to the feeds, which also repeat those
+that failed.
 """
 
 from httptools import HttpParserError
@@ -26,10 +27,10 @@
 
 
 class InitialList:
-    """A list of one kind, page by page, over a connection of its own.
+    """A list of one kind, read page by page over its own connection.
 
-    ``read`` and ``record_problems`` are those of a StoreFeed.  A lagging answer is
-    good enough: what changed since is watched for from its revision on.
+    ``read`` and ``record_problems`` are those of a StoreFeed.  Stale pages
+    are accepted: the watch that follows starts at their revision.
     """
 
     def __init__(
@@ -52,10 +53,11 @@
         self.socket.connect_ex(address.socket_address())
 
     def advance(self) -> Listing | None:
-        """Go on as far as possible; return the list once it is there.
+        """Send and receive without blocking; return the complete list.
 
-        None means that ``socket`` has to be waited for.  Raises
-        PlatformError if the list can't be had.
+        Returns None if ``socket`` has to become writable first, or readable
+        once ``is_request_sent`` is true.  Raises PlatformError if the list
+        can't be read.
         """
         try:
             if not self.is_request_sent:
@@ -70,7 +72,7 @@
         self._message = HttpMessage()
         self._parser = HttpResponseParser(self._message)
         self._path = list_path(self._kind, self._after, may_lag=True)
-        # A request is far shorter than the buffer of a new connection.
+        # Short enough to fit the send buffer of an idle connection whole.
         self.socket.send(request_bytes('GET', self._path, self._address))
         self.is_request_sent = True
         self._began_ms = None
@@ -79,7 +81,9 @@
         while True:
             data = self.socket.recv(READ_BYTES)
             if not data:
-                raise PlatformError(f'{self._path}: closed before an answer')
+                raise PlatformError(
+                    f'{self._path}: connection closed before a response'
+                )
             if self._began_ms is None:
                 self._began_ms = self._clock.now_ms()
             self._parser.feed_data(data)
@@ -87,7 +91,7 @@
                 return self._make_listing()
 
     def _add_page(self) -> bool:
-        """Take over a page; tell whether it was the last one."""
+        """Add the page received; return whether it was the last one."""
         status = self._parser.get_status_code()
         if status != HTTP_OK:
             raise PlatformError(f'{self._path}: status {status}')
--- a/src/liftmount/platform/launcher.py
+++ b/src/liftmount/platform/launcher.py
@@ -1,9 +1,10 @@
 """Starts a balancer from the archive of its compiled modules.
 
-Run as a script, with the address for packets.  It is bound at once: what
-arrives during the imports waits, and need not be sent again.  One file in
-place of 150 saves the looking for each; what the archive lacks, or an
-archive of another Python, is found as usual.
+Run as a script with the address for packets, as IP:PORT.  The address is
+bound before the imports, so that packets queue in the socket meanwhile.
+Loading modules from one file saves searching the path for each of them.
+Modules that the archive lacks, or all if it was written by another version
+of Python, are imported from their files.
 """
 
 # The C module beneath ``socket``, as in utils/raw_sockets.py.
@@ -13,20 +14,20 @@
 import sys
 
 ARCHIVE = 'balancer.archive'
-# Room for the index: some 80 bytes for each of 150 modules.
+# Size of the archive's header, padded; the compiled modules follow it.
 HEADER_BYTES = 65_536
-# Folders that the build makes: the program, and what it depends on.
+# Folders of the build's target, and the names of their roots in the index.
 PROGRAM = 'balancer'
 DEPENDENCIES = 'deps'
-# Python's own modules.
+# Name of the root of the standard library.
 LIBRARY = 'library'
 ModuleSpec = type(sys.__spec__)
 
 
 def bind_packet_socket(address):
-    """Return a socket that is bound to IP:PORT, None if it can't be.
+    """Return a UDP socket bound to IP:PORT, None if that fails.
 
-    Why it can't is said later, when the settings are checked.
+    The cause is reported later, when the address in the settings is bound.
     """
     ip, _colon, port = address.rpartition(':')
     try:
@@ -40,10 +41,12 @@
 class Archive:
     """Finds and loads modules whose compiled code is in one file.
 
-    The file begins with HEAD_BYTES of marshalled data: the version of the
-    Python that compiled it, and an index.  This maps names of modules to
-    offset and length of their code and, for a package, to the root and the
-    folder below it where the rest of the package lies.
+    It is a finder and a loader as importlib defines them.  The file begins
+    with HEADER_BYTES of marshalled data: the version of the Python that
+    compiled it, and an index.  The index maps the name of a module to
+    (offset, length, root, folder): the place of its code in bytes and, for a
+    package, the name of the root and the folder below it that holds the
+    package's files.
     """
 
     def __init__(self, path, roots):
@@ -54,7 +57,7 @@
 
     @property
     def is_usable(self):
-        """Tell whether this Python can run what the archive holds."""
+        """Return whether this version of Python can run the code."""
         return self._version == sys.version
 
     def find_spec(self, name, _path=None, _target=None):
@@ -71,17 +74,20 @@
         return spec
 
     def create_module(self, _spec):
-        """Leave the making of the module to Python."""
+        """Use the default module creation."""
 
     def exec_module(self, module):
-        """Run the code of a module."""
+        """Execute the code of a module in its namespace."""
         offset, length, _root, _folder = self._index[module.__name__]
         code = os.pread(self._file, length, offset)
         exec(marshal.loads(code), module.__dict__)
 
 
 def install_archive(path, roots):
-    """Find modules in an archive from now on, if there is a good one."""
+    """Import modules from the archive at ``path`` from now on.
+
+    An archive that can't be read or used is reported on stderr and skipped.
+    """
     try:
         archive = Archive(path, roots)
     except (OSError, ValueError, EOFError, TypeError) as error:
@@ -90,11 +96,14 @@
     if archive.is_usable:
         sys.meta_path.insert(0, archive)
     else:
-        print(f'liftmount: {path}: made by another Python', file=sys.stderr)
+        print(
+            f'liftmount: {path}: made by another Python version',
+            file=sys.stderr,
+        )
 
 
 def prepare(target):
-    """Let modules be found in the folder that the build makes."""
+    """Set up imports from ``target``, the folder that the build wrote."""
     program = f'{target}/{PROGRAM}'
     sys.path.insert(0, program)
     roots = {
@@ -106,7 +115,7 @@
 
 
 def launch(target, address):
-    """Run the balancer; return its exit status."""
+    """Run the balancer in ``target``; return its exit status."""
     bound = bind_packet_socket(address)
     prepare(target)
     from liftmount.platform.__main__ import start
--- a/src/liftmount/platform/objects.py
+++ b/src/liftmount/platform/objects.py
@@ -1,4 +1,4 @@
-"""Objects of the platform's store, turned into the project's types."""
+"""Converts objects of the platform's store into the project's types."""
 
 from attrs import define
 
@@ -15,7 +15,7 @@
 CONFIGURATION_KIND = 'config'
 TARGET_KIND = 'servers'
 EVACUATION_KIND = 'evacuations'
-# The one object of its kind that holds routes.
+# Name of the only object of its kind that is read.
 CONFIGURATION_NAME = 'main'
 DRAINING = 'draining'
 TARGET_STATES = ('ready', DRAINING)
@@ -25,8 +25,7 @@
     'download': RouteKind.DOWNLOAD,
     'upload': RouteKind.UPLOAD,
 }
-# Where no limit can be read: a flow that is forgotten later than it might be
-# takes memory, and nothing else.
+# Used if the limit is invalid; a high value only takes memory.
 DEFAULT_IDLE_TIMEOUT_MS = 60_000
 HEX_BASE = 16
 MAX_NUMBER_DIGITS = 16
@@ -36,72 +35,79 @@
 
 
 class Fields:
-    """The fields of one stored document; errors name object and field."""
+    """Typed access to the fields of a JSON object.
+
+    ``name`` is that of the stored object or settings file, ``path`` the
+    prefix of the fields' names in errors.  Its methods raise
+    StoredObjectError naming both if a field is missing or invalid.
+    """
 
     def __init__(self, name: str, document, path: str = ''):
         self.name = name
         self.path = path
         if type(document) is not dict:
-            raise StoredObjectError(name, path, document, 'expected fields')
+            raise StoredObjectError(name, path, document, 'expected an object')
         self._document = document
 
     def error(self, field: str, message: str) -> StoredObjectError:
-        """Return an error about a field."""
+        """Return an error about a field, with its value."""
         value = self._document.get(field)
         return StoredObjectError(
             self.name, f'{self.path}{field}', value, message
         )
 
     def string(self, field: str) -> str:
-        """Return a text that is not empty."""
+        """Return a string that is not empty."""
         value = self._document.get(field)
         if type(value) is not str or not value:
-            raise self.error(field, 'expected a text')
+            raise self.error(field, 'expected a non-empty string')
         return value
 
     def number(self, field: str, default: int | None = None) -> int:
-        """Return a whole number from 0 on; fractions are cut."""
+        """Return a number of at least 0, truncated to an integer."""
         return int(self.float_number(field, default))
 
     def float_number(self, field: str, default: float | None = None) -> float:
-        """Return a number from 0 on."""
+        """Return a number of at least 0."""
         value = self._document.get(field)
         value = default if value is None else value
         if type(value) not in (int, float) or not 0 <= value < 2**63:
-            raise self.error(field, 'expected a number from 0 on')
+            raise self.error(
+                field, 'expected a number of at least 0, below 2**63'
+            )
         return value
 
     def integer(self, field: str, default: int | None = None) -> int:
-        """Return a whole number from 0 on."""
+        """Return an integer of at least 0."""
         if type(self._document.get(field, default)) is not int:
-            raise self.error(field, 'expected a whole number')
+            raise self.error(field, 'expected an integer')
         return self.number(field, default)
 
     def strings(self, field: str) -> list[str]:
-        """Return a list of texts, maybe none."""
+        """Return a list of strings; it is empty by default."""
         value = self._document.get(field) or []
         if type(value) is not list or not all(
             type(one) is str for one in value
         ):
-            raise self.error(field, 'expected a list of texts')
+            raise self.error(field, 'expected a list of strings')
         return value
 
     def one_of(self, field: str, choices) -> str:
-        """Return a text that is one of ``choices``."""
+        """Return a string that is one of ``choices``."""
         value = self.string(field)
         if value not in choices:
             raise self.error(field, f'expected one of {list(choices)}')
         return value
 
     def list_items(self, field: str) -> list:
-        """Return what a list holds, whatever that is."""
+        """Return the items of a list, unchecked."""
         value = self._document.get(field)
         if type(value) is not list:
             raise self.error(field, 'expected a list')
         return value
 
     def sections(self, field: str) -> list:
-        """Return the fields of each document in a list, maybe none."""
+        """Return the Fields of each object in a list, empty by default."""
         if field not in self._document:
             return []
         return [
@@ -110,15 +116,15 @@
         ]
 
     def integers(self, field: str) -> list[int]:
-        """Return a list of at least one number."""
+        """Return a list of at least one integer."""
         value = self._document.get(field)
         is_list = type(value) is list and len(value) > 0
         if not is_list or not all(type(one) is int for one in value):
-            raise self.error(field, 'expected a list of numbers')
+            raise self.error(field, 'expected a list of integers')
         return value
 
     def endpoints(self, field: str) -> list[Endpoint]:
-        """Return a list of addresses with ports, maybe none."""
+        """Return a list of addresses with ports, empty by default."""
         value = self._document.get(field, [])
         if type(value) is not list:
             raise self.error(field, 'expected a list of addresses')
@@ -128,16 +134,16 @@
             raise self.error(field, str(error)) from error
 
     def string_map(self, field: str) -> dict[str, str]:
-        """Return a table of texts, maybe an empty one."""
+        """Return a mapping of names to strings, empty by default."""
         value = self._document.get(field) or {}
         if type(value) is not dict or not all(
             type(one) is str for one in value.values()
         ):
-            raise self.error(field, 'expected a table of texts')
+            raise self.error(field, 'expected a mapping of names to strings')
         return value
 
     def section(self, field: str):
-        """Return the fields of a document inside."""
+        """Return the Fields of a nested object, empty by default."""
         value = self._document.get(field, {})
         return Fields(self.name, value, f'{self.path}{field}.')
 
@@ -152,7 +158,7 @@
 
 @define
 class _Service:
-    """What a configuration says of a service; it may state no rate."""
+    """A service in a configuration; ``warm_up`` is None without a rate."""
 
     name: str
     health_path: str
@@ -160,18 +166,15 @@
 
 
 def read_evacuated(name: str, _spec, _report) -> str:
-    """Return the failure domain that an object asks to evacuate.
-
-    The object's name says it all; whatever else it holds is passed over.
-    """
+    """Return the failure domain to evacuate, which is the object's name."""
     return name
 
 
 def read_target(name: str, spec, _report) -> TargetEntry:
-    """Read the entry that a target keeps of itself.
+    """Return the entry that a target writes about itself.
 
-    Anybody may write one.  What lacks a field that targets write, or holds
-    one of another type, names no target: StoredObjectError.
+    Raises StoredObjectError if a field that targets write is missing or
+    invalid: other writers can add objects of this kind as well.
     """
     fields = Fields(f'{TARGET_KIND}/{name}', spec)
     fields.string('version')
@@ -185,13 +188,13 @@
         slots=max(1, fields.number('capacity')),
         draining=fields.one_of('state', TARGET_STATES) == DRAINING,
         warm_up_ms=fields.number('warmup_left_ms'),
-        # Not every platform says when a target started.
+        # Not every version of the platform has this field.
         started_wall_ms=fields.integer('born', 0),
     )
 
 
 def _target_number(name):
-    """Return the number that the hex digits of an id stand for."""
+    """Return the number in the hex digits that end a target's name."""
     digits = name.rpartition('-')[2]
     try:
         number = int(digits, HEX_BASE)
@@ -204,11 +207,12 @@
 
 
 def read_routes(name: str, spec, report) -> RouteTable:
-    """Read a configuration; of two routes to one address the first holds.
+    """Return the routes of a configuration.
 
-    ``report(error)`` hears of each route, service or limit that is left out
-    as it can't be read; the others hold.  Without a version or a list of
-    routes there is no configuration: StoredObjectError.
+    Of several routes with the same address the first is used.  Invalid
+    routes, services and limits are skipped, and ``report(error)`` is called
+    for each.  Raises StoredObjectError if the version or the list of routes
+    is invalid.
     """
     fields = Fields(f'{CONFIGURATION_KIND}/{name}', spec)
     if name != CONFIGURATION_NAME:
@@ -228,7 +232,7 @@
 
 
 def _read_items(fields, field, read, report):
-    """Return what can be read of a list, in its order."""
+    """Return the valid items of a list, in its order."""
     found = []
     for index, document in enumerate(fields.list_items(field)):
         path = f'{fields.path}{field}[{index}].'
@@ -268,10 +272,9 @@
 
 
 def _read_kind(fields, report):
-    """Return the kind of a route.
+    """Return the kind of a route, AT_MOST_ONCE if its type is unknown.
 
-    What the requests of a kind that is not known allow is not known either:
-    they get the strictest promise.
+    That is the strictest kind, and safe for requests of any type.
     """
     kind = ROUTE_KINDS.get(fields.string('type'))
     if kind is not None:
@@ -299,7 +302,7 @@
 
 
 def _read_address(fields):
-    """Return an address whose port stands where a path is expected."""
+    """Return a route's address; its port is in ``path_prefix``."""
     ip = fields.string('host')
     port = fields.string('path_prefix').strip('/')
     if not port.isdecimal() or int(port) > HIGHEST_PORT:
--- a/src/liftmount/platform/packet_headers.py
+++ b/src/liftmount/platform/packet_headers.py
@@ -1,8 +1,9 @@
-"""Heads of packets: read into segments, and written for targets.
+"""The codec for packets: reads headers and writes them.
 
-A head has 32 bytes, little-endian, addresses too.  Its sum covers all but
-``echo`` (our tag) and two bits, so a packet is passed on as it is, with
-another tag, behind eight bytes that name the target.
+A header has 32 bytes.  All fields are little-endian, addresses included.
+The checksum ``sum`` covers all but ``echo``, which carries the balancer's
+tag, and two bits.  A packet can thus be forwarded with another tag and the
+rest unchanged, after eight bytes that hold the target's number.
 """
 
 from functools import lru_cache
@@ -19,13 +20,13 @@
 TAG = struct.Struct('<I')
 TAG_OFFSET = 22
 TAG_END = TAG_OFFSET + TAG.size
-# Both ends, which identify a flow: dst, dport, src, sport.
+# The fields that identify a flow: dst, dport, src, sport.
 FLOW_SLICE = slice(10, 22)
 NUMBER_BYTES = 8
 SYN = 2
 FIN = 16
 RST = 32
-# Ends of flows that are kept decoded; each flow has two.
+# Decoded addresses that are cached; each flow has two.
 ENDPOINT_CACHE_SIZE = 65_536
 
 
@@ -40,9 +41,11 @@
 
 
 def read(datagram: bytes) -> Segment:
-    """Read a client's packet; raises PacketError if it has no whole head."""
+    """Read a client's packet; raises PacketError if it is too short."""
     if len(datagram) < HEADER.size:
-        raise PacketError(f'a packet of {len(datagram)} bytes has no head')
+        raise PacketError(
+            f'packet of {len(datagram)} bytes is shorter than its header'
+        )
     (
         sequence,
         acknowledgement,
@@ -72,10 +75,10 @@
 
 
 def encode_forward(action: Forward) -> bytes:
-    """Return the datagram that a target gets.
+    """Return the datagram to send to a target.
 
-    The target's number always stands in front: an address that another
-    target took over must not accept the packet.
+    The target's number precedes the packet, so that another target that has
+    reused the address does not accept it.
     """
     datagram = action.segment.datagram
     return b''.join(
@@ -89,7 +92,7 @@
 
 
 def encode_reset(action: Refuse) -> bytes:
-    """Return a reset from the route's address to the client."""
+    """Return a packet that resets a flow, sent from the route's address."""
     return HEADER.pack(
         action.sequence,
         0,
--- a/src/liftmount/platform/partial_json.py
+++ b/src/liftmount/platform/partial_json.py
@@ -1,23 +1,26 @@
-"""What can be read of a document that can't be read as a whole.
+"""Parses the valid parts of an invalid JSON text.
 
-One writer's bytes in a list must not hide what all others wrote: a text that
-breaks the rules of JSON, or is nested too deeply to be read.
+An object in a list that is invalid JSON, or nested too deeply to parse, must
+not make the other objects of the list unreadable.
 """
 
 import json
 import re
 
-# Strings, and the signs between values; whatever else there is stays in
-# between.  A string may hold line breaks that it must not hold.
+# Strings and punctuation.  Strings with unescaped line breaks are accepted.
 TOKEN_PATTERN = re.compile(r'"(?:[^"\\]|\\.)*"|[{}\[\],:]', re.DOTALL)
 OPENING = '{['
 CLOSING = '}]'
-# From an answer through its list and an object to the object's fields.
+# Levels that are split: response, list of events, event, object, spec.
 MAX_DEPTH = 5
 
 
 def parse_partial(text: str, depth: int = MAX_DEPTH):
-    """Return the value of a JSON text, with None for what can't be read."""
+    """Return the value of a JSON text, with None for invalid parts.
+
+    A value that is invalid as a whole is split into its items, down to
+    ``depth`` levels.
+    """
     text = text.strip()
     try:
         return json.loads(text, strict=False)
@@ -36,9 +39,10 @@
 
 
 def _split_items(text):
-    """Return (name, value) for each part inside the outermost brackets.
+    """Return (name, value) for each item inside the outermost brackets.
 
-    Both are texts; the name is None in a list, or if it can't be read.
+    The values are JSON texts.  The name is None in a list, or if it is not a
+    valid string.
     """
     parts = []
     name = None
--- a/src/liftmount/platform/programs.py
+++ b/src/liftmount/platform/programs.py
@@ -1,7 +1,8 @@
-"""Entries of the programs that keep objects in the platform's store.
+"""Entry points of liftmountd and of the operators' tool.
 
 ``python3 -m liftmount.platform.programs daemon|tool`` runs one of them,
-as ``liftmountd`` and ``liftmount`` do once the package is installed.
+as ``liftmountd`` and ``liftmount`` do once the package is installed.  Both
+keep their objects in the platform's store.
 """
 
 import sys
@@ -13,7 +14,7 @@
 
 
 def make_store(settings: PlatformSettings, local_ip: str) -> PlatformStore:
-    """Return a client of the store that settings name."""
+    """Return a client of the store at the addresses in the settings."""
     return PlatformStore(
         settings.addresses, settings.timeout_ms, local_ip=local_ip
     )
--- a/src/liftmount/platform/settings.py
+++ b/src/liftmount/platform/settings.py
@@ -1,9 +1,8 @@
-"""Settings of a process on the platform, from the file it lays there.
+"""Reads the settings file that the platform writes for a process.
 
-deploy/system.toml has the file filled as JSON, which is read without a
-module that the store's answers don't need as well: reading TOML adds 13 ms
-of processor time (median of 31 processes) to a start before the first
-packet.  The platform's own form is TOML.
+The file is JSON, as deploy/system.toml configures it, or TOML, the platform's
+default.  JSON makes a start faster, as its parser is needed for the store's
+responses anyway.
 """
 
 import json
@@ -15,18 +14,19 @@
 from liftmount.platform.objects import Fields
 from liftmount.platform.objects import MS_PER_S
 
-# The port that deploy/system.toml names; the settings hold none for it.
+# Has to match deploy/system.toml; the settings do not contain it.
 METRICS_PORT = 9102
-# Names the rules on targets that say that they are well.
+# The contract by which targets report their health.
 HEALTH_CONTRACT = 'health'
-# Where the file names no bound for changes: the tightest one in use.
+# Used if the file has no bound for changes.
 DEFAULT_CHANGE_BOUND_MS = 3_000
 
 
 def load_settings(path: str) -> EntrySettings:
-    """Read the settings file; fields that are not known are skipped.
+    """Return the settings in the file at ``path``.
 
-    Raises ConfigurationError naming file, key and value.
+    Unknown fields are ignored.  Raises ConfigurationError naming file, key
+    and value.
     """
     try:
         with open(path, encoding='utf-8') as stream:
@@ -43,14 +43,14 @@
 
 
 def _make_error(path, message, field='(file)', value=''):
-    # A start does without, unless there is something to refuse.
+    # Imported here as a start with valid settings does not need it.
     from liftmount._internal.models.problems import Problem
 
     return ConfigurationError([Problem(path, field, value, message)])
 
 
 def _parse(text):
-    """Return the document that a text holds; raises ValueError."""
+    """Parse a JSON object or TOML; raises ValueError."""
     if text.startswith('{'):
         return json.loads(text)
     import tomllib
@@ -61,9 +61,9 @@
 def _read_settings(fields):
     listen = fields.section('listen')
     packets = listen.endpoint('packets')
-    # The first of the ports that are kept free for us, alike everywhere.
+    # The first of the ports reserved for balancers, the same on all hosts.
     port = fields.integers('ephemeral_ports')[0]
-    # Seeds come as other addresses of the same machines.
+    # Seeds are given with another port of the same hosts.
     seeds = [Endpoint(one.ip, port) for one in fields.endpoints('seeds')]
     bounds = fields.section('bounds')
     change_bound_ms = min(
--- a/src/liftmount/platform/start.py
+++ b/src/liftmount/platform/start.py
@@ -1,7 +1,7 @@
 """The start of a balancer: packets first, everything else later.
 
-Packets are served before the event loop and the rest are imported, which
-takes most of a second on a small instance.
+Packets are served while the event loop and the other modules are imported,
+which takes long on a small instance.
 """
 
 import gc
@@ -20,10 +20,10 @@
 
 
 def serve(path: str, bound=None, stops=()) -> int:
-    """Run a balancer with the settings at ``path``; return its status.
+    """Run a balancer with the settings at ``path``; return its exit status.
 
-    ``bound`` is the RawSocket for packets if it is bound already.  ``stops``
-    gets an entry when the process is told to stop.
+    ``bound`` is the RawSocket for packets if it is already bound.  An entry
+    is added to ``stops`` when the process receives a signal to stop.
     """
     try:
         settings = load_settings(path)
@@ -39,14 +39,14 @@
         )
         for feed, (kind, read) in SOURCES.items()
     }
-    # asyncio loads OpenSSL if it finds it: 5 MB that nothing here needs.
+    # Keeps asyncio from loading OpenSSL, which is not used.
     sys.modules.setdefault('ssl', None)
     serving = EarlyServing(startup, lists)
     with ImportTurns(serving.turn):
         from liftmount.platform.daemon import main
     serving.turn()
     serving.hand_over()
-    # Nothing that is imported is ever collected.
+    # Excludes imported modules from garbage collection: they stay loaded.
     gc.freeze()
     gc.enable()
     return main(path, startup)
--- a/src/liftmount/platform/store.py
+++ b/src/liftmount/platform/store.py
@@ -1,4 +1,4 @@
-"""Client of the platform's store: lists in pages, watches, writes."""
+"""Client of the platform's store: paged lists, watches, writes."""
 
 import json
 from urllib.parse import unquote
@@ -29,16 +29,15 @@
 from liftmount.platform.documents import read_document
 from liftmount.platform.documents import read_object
 
-# How soon an answer has to begin; it does in 4 ms, in 400 ms when the store
-# is slow.
+# Default time within which a response has to begin.
 TIMEOUT_MS = 2_000
-# How much later than its wait the answer of a watch may come.
+# Time allowed for the response to a watch beyond the wait it asks for.
 WATCH_MARGIN_MS = 2_000
 
 
 @frozen
 class _Reply:
-    """The document of an answer, its size, and how long it took to come."""
+    """The document of a response, the time it took to arrive, its size."""
 
     document: dict
     lasted_ms: int
@@ -46,12 +45,12 @@
 
 
 class PlatformStore:
-    """The store, at the first of its addresses that answers.
+    """Client that calls the first address of the store that responds.
 
-    It offers what ``_internal.store.interface.ObjectStore`` asks for.
-    ``count`` hears of each call; calls go over a connection each, which
-    is kept for the next one.  ``report(error)`` hears of parts of lists and
-    watches that name no object.
+    Implements ``_internal.store.interface.ObjectStore``.  ``count()`` is
+    called for each HTTP request.  Concurrent calls use separate connections,
+    which are kept for later calls.  ``report(error)`` is called for items of
+    lists and watches without a valid name.
     """
 
     def __init__(
@@ -73,12 +72,12 @@
         self.calls = 0
 
     def set_addresses(self, addresses) -> None:
-        """Call other addresses from the next call on."""
+        """Replace the addresses; this closes all connections."""
         self._addresses = list(addresses)
         self.close()
 
     def close(self) -> None:
-        """Drop all connections, those of calls under way too."""
+        """Close all connections, also those of calls in progress."""
         for connection in [*self._idle, *self._in_use]:
             connection.close()
         self._idle.clear()
@@ -86,7 +85,7 @@
     # Reading.
 
     async def get(self, key: str) -> StoredObject | None:
-        """Return an object, or None when there is none."""
+        """Return an object, None if it does not exist."""
         reply = await self._call('GET', object_path(key))
         if reply is None:
             return None
@@ -100,7 +99,7 @@
     ) -> Listing:
         """Return all StoredObjects of a kind.
 
-        Each page has to begin to arrive within ``timeout_ms``.
+        The response for each page has to begin within ``timeout_ms``.
         """
         pages = ListPages(kind, self._report)
         after = ''
@@ -120,9 +119,11 @@
         wait_ms: int,
         timeout_ms: float | None = None,
     ) -> Delta:
-        """Return what changed in a kind since a revision, maybe nothing.
+        """Return the changes to a kind since ``revision``, if any.
 
-        The answer has to begin to arrive within ``timeout_ms``.
+        The store waits up to ``wait_ms`` for a change.  The response has to
+        begin within ``timeout_ms``.  Raises HistoryGoneError if the store no
+        longer has the changes since ``revision``.
         """
         query = {'watch': revision, 'wait_ms': wait_ms}
         limit_ms = timeout_ms or wait_ms + WATCH_MARGIN_MS
@@ -139,7 +140,11 @@
     # Writing.
 
     async def put(self, key: str, value: dict, expected_version: int) -> int:
-        """Write an object, conditionally; return its new version."""
+        """Write an object; return its new version.
+
+        Raises ConflictError if its version is not ``expected_version``, which
+        is 0 for an object to create.
+        """
         if expected_version == 0:
             name = key.partition('/')[2]
             document = {'meta': {'name': name}, 'spec': value}
@@ -151,12 +156,15 @@
             document = {'meta': meta, 'spec': value}
             response = await self._call('PUT', object_path(key), body=document)
         if response is None:
-            # It was there when its version was read.
+            # Deleted since its version was read.
             raise ConflictError(key, None)
         return read_object(_kind(key), response.document).version
 
     async def delete(self, key: str, expected_version: int) -> None:
-        """Delete an object if its version is ``expected_version``."""
+        """Delete an object.
+
+        Raises ConflictError if its version is not ``expected_version``.
+        """
         query = {'revision': expected_version}
         if await self._call('DELETE', object_path(key, query)) is None:
             raise ConflictError(key, None)
@@ -164,7 +172,7 @@
     # Calls.
 
     async def _call(self, method, path, timeout_ms=None, body=None):
-        """Return the reply, None if there is no such object."""
+        """Return the reply, None if the object does not exist."""
         failure = None
         for address in list(self._addresses):
             self.calls += 1
@@ -178,7 +186,7 @@
                 failure = error
                 self._addresses.append(self._addresses.pop(0))
                 if method != 'GET':
-                    # It may have taken effect; whoever asked reads back.
+                    # It may have taken effect, so it is not repeated.
                     break
                 continue
             document = _check_response(method, path, response)
--- a/src/liftmount/platform/store_feed.py
+++ b/src/liftmount/platform/store_feed.py
@@ -1,4 +1,4 @@
-"""Feeds of the objects that the platform's store holds."""
+"""Feeds that list and watch objects of the platform's store."""
 
 from liftmount._internal.models.addresses import Endpoint
 from liftmount._internal.models.entry_settings import EntrySettings
@@ -13,10 +13,10 @@
 
 
 class StoreFeed:
-    """Follows the objects of one kind over a connection of its own.
+    """Lists and watches the objects of one kind over its own connection.
 
-    ``read`` and ``record_problems`` are as in decode_all.  An object that can't be
-    used counts as if it were not there.
+    ``read`` and ``record_problems`` are as in decode_all.  An invalid object
+    is treated as missing.
     """
 
     def __init__(self, store: PlatformStore, kind: str, read, record_problems):
@@ -26,7 +26,7 @@
         self._record_problems = record_problems
 
     async def fetch(self, may_lag: bool, timeout_ms: float) -> Listing:
-        """Return all objects of the kind; raises PlatformError."""
+        """Return all valid objects of the kind; raises PlatformError."""
         listing = await self._store.list(self._kind, may_lag, timeout_ms)
         decoded = self._decode(listing.items)
         return changed(listing, items=decoded.accepted, may_lag=may_lag)
@@ -34,9 +34,11 @@
     async def watch(
         self, revision: int, wait_ms: int, timeout_ms: float
     ) -> Delta:
-        """Return what changed since a revision, maybe nothing.
+        """Return the changes since ``revision``, if any.
 
-        Raises HistoryGoneError when the store forgot what lies between.
+        Objects that have become invalid are among the removed ones.  Raises
+        HistoryGoneError if the store no longer has the changes since
+        ``revision``, and PlatformError if the call fails.
         """
         delta = await self._store.watch(
             self._kind, revision, wait_ms, timeout_ms
@@ -51,11 +53,11 @@
         )
 
     def set_address(self, address: Endpoint) -> None:
-        """Call another address from the next call on."""
+        """Replace the address of the store; this closes the connection."""
         self._store.set_addresses([address])
 
     def close(self) -> None:
-        """Drop the connection."""
+        """Close the connection."""
         self._store.close()
 
     def _decode(self, stored):
@@ -65,7 +67,10 @@
 def make_feeds(
     settings: EntrySettings, record_problems, metrics: Metrics
 ) -> dict:
-    """Return the feeds of all kinds by name."""
+    """Return the feeds by name.
+
+    ``record_problems`` is as in decode_all.
+    """
 
     def feed(kind, read):
         store = PlatformStore(
