--- a/benches/domain_start.py
+++ b/benches/domain_start.py
@@ -12,8 +12,8 @@
 from attrs import Factory
 from attrs import frozen
 
-from liftmount._internal.decisions import following
-from liftmount._internal.decisions import spreading
+from liftmount._internal.decisions import dissemination
+from liftmount._internal.decisions import list_watch
 from liftmount._internal.models.feeds import Delta
 from liftmount._internal.models.feeds import Evacuated
 from liftmount._internal.models.feeds import EVACUATIONS
@@ -32,7 +32,7 @@
 JOIN_MS = 1_500
 IMPORTS_MS = 200
 SEEDS = 3
-# When a newcomer asks seeds again, see decisions/joining.py.
+# When a newcomer asks seeds again, see decisions/bootstrap.py.
 ASK_AGAIN_MS = 1_000
 ROUND_TRIP_MS = 4
 SLOW_MS = 400
@@ -102,7 +102,7 @@
     follows: dict = Factory(dict)
     due: dict = Factory(dict)
     transfers: dict = Factory(dict)
-    spread: spreading.SpreadState | None = None
+    spread: dissemination.DisseminationState | None = None
     group_ms: int | None = None
     known_ms: dict = Factory(dict)
     received_bytes: float = 0.0
@@ -128,7 +128,7 @@
             share = index / max(1, case.members)
             member = Member(name, round(300 * share))
             for feed in FEEDS:
-                state = following.FollowState(jitter=share)
+                state = list_watch.ListWatchState(jitter=share)
                 member.follows[feed] = state
             self.members[name] = member
 
@@ -143,7 +143,7 @@
             for name, beat in beats:
                 member = self.members[name]
                 if member.spread is not None:
-                    event = spreading.BeatArrived(beat, self.now_ms)
+                    event = dissemination.HeartbeatReceived(beat, self.now_ms)
                     self._spread(member, event)
 
     def known_at_ms(self, share: float) -> float:
@@ -163,7 +163,7 @@
     def readers(self) -> int:
         """Return how many members read the store now."""
         return sum(
-            not state.is_resting
+            not state.is_paused
             for member in self.members.values()
             for state in member.follows.values()
         )
@@ -175,7 +175,7 @@
             return
         if not member.due and not member.transfers and not member.known_ms:
             for feed in FEEDS:
-                self._follow(member, feed, following.Begun())
+                self._follow(member, feed, list_watch.ListInProgress())
         for feed, (at_ms, call) in list(member.due.items()):
             if self.now_ms >= at_ms:
                 del member.due[feed]
@@ -194,7 +194,7 @@
                     for one in self.members.values()
                     if one.group_ms is not None
                 )
-                self._spread(member, spreading.OrderChanged(order))
+                self._spread(member, dissemination.RelayOrderChanged(order))
             self._spread(member, Tick(self.now_ms))
 
     def _meet_others(self, member):
@@ -207,7 +207,7 @@
             return
         member.group_ms = self.now_ms
         share = int(member.name[1:]) / len(self.members)
-        member.spread = spreading.SpreadState(
+        member.spread = dissemination.DisseminationState(
             member.name, self.now_ms, share, process_ms=member.started_ms
         )
         self._note(member)
@@ -224,46 +224,50 @@
         ]
         if seeds:
             seed = seeds[(int(member.name[1:]) // SEEDS + turn) % len(seeds)]
-            event = spreading.PeerKnows(seed.name, self.now_ms)
+            event = dissemination.PeerDiffers(seed.name, self.now_ms)
             self._spread(member, event)
 
     def _follow(self, member, feed, event):
-        for action in following.decide(member.follows[feed], event):
+        for action in list_watch.decide(member.follows[feed], event):
             match action:
-                case following.Cancel():
+                case list_watch.Cancel():
                     member.due.pop(feed, None)
                     member.transfers.pop(feed, None)
-                case following.Finish():
+                case list_watch.Finish():
                     member.due[feed] = (self.now_ms, action)
-                case following.List() | following.Watch():
+                case list_watch.List() | list_watch.Watch():
                     at_ms = self.now_ms + action.after_ms
                     member.due[feed] = (at_ms, action)
 
     def _spread(self, member, event):
-        for action in spreading.decide(member.spread, event):
+        for action in dissemination.decide(member.spread, event):
             match action:
-                case spreading.SendBeat():
+                case dissemination.SendHeartbeat():
                     self.beats += [
-                        (child, action.beat) for child in action.children
+                        (child, action.heartbeat) for child in action.children
                     ]
-                case spreading.AskForBeat():
+                case dissemination.RequestHeartbeat():
                     for peer in action.peers:
                         self._ask_for_beat(member, self.members[peer])
-                case spreading.SetReading():
+                case dissemination.SetStoreReader():
                     for feed in FEEDS:
                         known = REVISION if feed in member.known_ms else None
-                        told = following.Paused()
-                        if action.is_reading:
-                            told = following.Resumed(known, action.is_helping)
+                        told = list_watch.Paused()
+                        if action.is_reader:
+                            told = list_watch.Resumed(
+                                known, action.is_fallback
+                            )
                         self._follow(member, feed, told)
-                case spreading.ReadNow():
-                    self._follow(member, TARGETS, following.Hurried())
-                case spreading.Pull():
+                case dissemination.PollStore():
+                    self._follow(
+                        member, TARGETS, list_watch.RefreshRequested()
+                    )
+                case dissemination.Pull():
                     self._pull(member, self.members[action.peer])
 
     def _ask_for_beat(self, member, peer):
         if peer.spread is not None:
-            event = spreading.BeatAsked(member.name, self.now_ms)
+            event = dissemination.HeartbeatRequested(member.name, self.now_ms)
             self._spread(peer, event)
 
     # Calls and bytes.
@@ -271,7 +275,7 @@
     def _call_store(self, member, feed, call):
         case = self.case
         self.calls[feed] += 1
-        is_watch = isinstance(call, following.Watch)
+        is_watch = isinstance(call, list_watch.Watch)
         self.lists += not is_watch
         in_trouble = self.now_ms < case.trouble_ms
         wait_ms = ROUND_TRIP_MS + (call.wait_ms if is_watch else 0)
@@ -279,28 +283,28 @@
             wait_ms += SLOW_MS
         is_third = int(member.name[1:]) % 3 == 0
         if in_trouble and case.trouble == 'turns a third away' and is_third:
-            self._follow(member, feed, following.CallFailed('turned away'))
+            self._follow(member, feed, list_watch.CallFailed('turned away'))
             return
         size = CALL_BYTES if is_watch else case.stored_bytes(feed)
 
         def done():
             items = () if feed == EVACUATIONS else (_Version(),)
             news = Listing(items, REVISION, may_lag=True)
-            event = following.Listed(REVISION)
-            if isinstance(call, following.Finish):
-                event = following.Finished(REVISION)
+            event = list_watch.Listed(REVISION)
+            if isinstance(call, list_watch.Finish):
+                event = list_watch.Finished(REVISION)
             if is_watch:
                 news = Delta((), (), REVISION, REVISION)
-                event = following.Changed(REVISION, 0)
+                event = list_watch.Changed(REVISION, 0)
             self._know(member, [feed])
             if member.spread is not None:
-                answered = spreading.StoreAnswered(feed, news, self.now_ms)
+                answered = dissemination.StoreAnswered(feed, news, self.now_ms)
                 self._spread(member, answered)
                 self._note(member)
             self._follow(member, feed, event)
 
         def failed():
-            self._follow(member, feed, following.CallFailed('no progress'))
+            self._follow(member, feed, list_watch.CallFailed('no progress'))
 
         transfer = Transfer(STORE, size, self.now_ms + wait_ms, done, failed)
         if in_trouble and case.trouble == 'stops halfway':
@@ -309,18 +313,18 @@
 
     def _pull(self, member, peer):
         if not peer.is_complete:
-            self._spread(member, spreading.PullEnded(peer.name))
+            self._spread(member, dissemination.PullEnded(peer.name))
             return
 
         def ended():
-            self._spread(member, spreading.PullEnded(peer.name))
+            self._spread(member, dissemination.PullEnded(peer.name))
 
         def done():
             ended()
             self._know(member, FEEDS)
             self._note(member)
             for feed in FEEDS:
-                self._follow(member, feed, following.Known(REVISION))
+                self._follow(member, feed, list_watch.ListKnown(REVISION))
 
         transfer = Transfer(
             peer.name,
@@ -336,13 +340,13 @@
             member.known_ms.setdefault(feed, self.now_ms)
 
     def _note(self, member):
-        event = spreading.KnowledgeChanged(
+        event = dissemination.RevisionsChanged(
             REVISION if TARGETS in member.known_ms else 0,
             REVISION if ROUTES in member.known_ms else 0,
             1 if ROUTES in member.known_ms else 0,
             NONE_EVACUATED if EVACUATIONS in member.known_ms else None,
         )
-        spreading.decide(member.spread, event)
+        dissemination.decide(member.spread, event)
 
     def _move_bytes(self):
         case = self.case
--- a/src/liftmount/_internal/decisions/joining.py
+++ b/src/liftmount/_internal/decisions/bootstrap.py
@@ -15,40 +15,43 @@
 
 # When a newcomer asks: at once, when the seeds have heard of those that
 # started with it, and while these tell each other.
-ASK_AT_MS = (0, 1_000, 2_000, 3_500, 5_000)
+ATTEMPT_TIMES_MS = (0, 1_000, 2_000, 3_500, 5_000)
 # By then a newcomer has heard of all members of its domain, and they of it.
-JOINED_MS = 6_000
+JOIN_COMPLETE_MS = 6_000
 # The first of these turns go to one seed each, later ones to two members:
 # in simulated starts of 91 to 700 balancers all know their domain then.
-SEED_TURNS = 2
-MEMBERS_ASKED = 2
+SEED_ATTEMPTS = 2
+MEMBERS_PER_ATTEMPT = 2
 # Members of each other domain that a list holds: enough that one of them
 # is alive as long as the domain is in reach.
-FAR_MEMBERS = 4
+REMOTE_MEMBERS = 4
 
 
-def whom_to_ask(
-    own: Member, turn: int, seeds: tuple[Endpoint, ...], near: list[Member]
+def peers_to_ask(
+    own: Member, attempt: int, seeds: tuple[Endpoint, ...], local: list[Member]
 ) -> list[Endpoint]:
     """Return whom to ask in a turn, in the order in which to try.
 
-    ``answers_wanted`` tells how many of them have to answer.  ``near`` are
+    ``answers_needed`` tells how many of them have to answer.  ``local`` are
     the known members of the own domain.  Newcomers begin at different
     seeds, and at different members.
     """
     others = sorted(
-        {one.peer for one in near if one.peer != own.peer}, key=str
+        {one.peer for one in local if one.peer != own.peer}, key=str
     )
     seeds = [one for one in seeds if one != own.peer]
-    start = crc32(own.name.encode()) + turn
-    if turn < SEED_TURNS or not others:
+    start = crc32(own.name.encode()) + attempt
+    if attempt < SEED_ATTEMPTS or not others:
         return _rotated(seeds, start)
-    return [*_rotated(others, start)[:MEMBERS_ASKED], *_rotated(seeds, start)]
+    return [
+        *_rotated(others, start)[:MEMBERS_PER_ATTEMPT],
+        *_rotated(seeds, start),
+    ]
 
 
-def answers_wanted(turn: int) -> int:
+def answers_needed(attempt: int) -> int:
     """Return how many answers end a turn."""
-    return 1 if turn < SEED_TURNS else MEMBERS_ASKED
+    return 1 if attempt < SEED_ATTEMPTS else MEMBERS_PER_ATTEMPT
 
 
 def _rotated(items, start):
@@ -58,18 +61,18 @@
     return [*items[start:], *items[:start]]
 
 
-def members_to_tell(known: list[Member], asker: Member) -> list[Member]:
+def members_to_send(known: list[Member], requester: Member) -> list[Member]:
     """Return the members that a newcomer is told of."""
-    told = []
-    far = {}
+    selected = []
+    remote = {}
     for member in known:
-        if member.failure_domain == asker.failure_domain:
-            told.append(member)
+        if member.failure_domain == requester.failure_domain:
+            selected.append(member)
         elif member.reachable:
-            far.setdefault(member.failure_domain, []).append(member)
-    seed = crc32(asker.name.encode())
-    for members in far.values():
+            remote.setdefault(member.failure_domain, []).append(member)
+    seed = crc32(requester.name.encode())
+    for members in remote.values():
         # Each asker is told of others, so that none is known to all.
         members.sort(key=lambda one: crc32(one.name.encode(), seed))
-        told += members[:FAR_MEMBERS]
-    return told
+        selected += members[:REMOTE_MEMBERS]
+    return selected
--- a/src/liftmount/_internal/decisions/directory.py
+++ b/src/liftmount/_internal/decisions/directory.py
@@ -18,7 +18,7 @@
 
 # Targets that live write their entries within about two seconds of the
 # store's return; the rest is the way of a watch's answer.
-LAPSE_MS = 2_500
+MISSING_GRACE_MS = 2_500
 
 
 @message
@@ -31,7 +31,7 @@
     entries: tuple[TargetEntry, ...]
     revision: int
     now_ms: int
-    doubted: tuple[Expiring, ...] = ()
+    missing: tuple[Expiring, ...] = ()
 
 
 @message
@@ -52,21 +52,21 @@
 
 
 @message
-class EntryBelieved(Message):
+class EntryUpdated(Message):
     """A target is there, and this is what it says of itself."""
 
     entry: TargetEntry
 
 
 @message
-class EntryDoubted(Message):
+class EntryMissing(Message):
     """A target's entry vanished, and may come back."""
 
     entry: TargetEntry
 
 
 @message
-class EntryGone(Message):
+class EntryRemoved(Message):
     """A target has ended."""
 
     entry: TargetEntry
@@ -76,12 +76,12 @@
 class DirectoryState:
     """Entries believed, and those missing since trouble with the store.
 
-    ``doubted`` maps names to the time at which a missing entry is taken
+    ``missing`` maps names to the time at which a missing entry is taken
     as gone.  ``trusted_from_ms``: removals before it may be lapses.
     """
 
     entries: dict[str, TargetEntry] = Factory(dict)
-    doubted: dict[str, int] = Factory(dict)
+    missing: dict[str, int] = Factory(dict)
     revision: int = 0
     trusted_from_ms: int = 0
 
@@ -90,14 +90,14 @@
         return tuple(
             entry
             for name, entry in self.entries.items()
-            if name not in self.doubted
+            if name not in self.missing
         )
 
-    def doubts(self, now_ms: int) -> tuple[Expiring, ...]:
+    def missing_entries(self, now_ms: int) -> tuple[Expiring, ...]:
         """Return the entries that vanished of late."""
         return tuple(
             Expiring(self.entries[name], max(0, until_ms - now_ms))
-            for name, until_ms in self.doubted.items()
+            for name, until_ms in self.missing.items()
         )
 
 
@@ -105,48 +105,48 @@
     """Return what changed in the belief."""
     match event:
         case TargetsListed():
-            return _listed(state, event)
+            return _on_listed(state, event)
         case TargetsChanged():
-            return _changed(state, event)
+            return _on_changed(state, event)
         case StoreLost():
-            state.trusted_from_ms = event.now_ms + LAPSE_MS
+            state.trusted_from_ms = event.now_ms + MISSING_GRACE_MS
             return []
         case Tick():
             return _expire(state, event.now_ms)
     raise TypeError(f'unknown event {event!r}')
 
 
-def _listed(state, event):
+def _on_listed(state, event):
     # A list read from a lagging replica must not take anything back.
     if event.revision < state.revision:
         return []
     state.revision = event.revision
     actions = []
     for entry in event.entries:
-        actions += _written(state, entry)
+        actions += _on_written(state, entry)
     present = {entry.name for entry in event.entries}
     for name in [one for one in state.entries if one not in present]:
-        actions += _removed(state, name, event.now_ms)
-    for doubt in event.doubted:
-        actions += _take_doubt(state, doubt, event.now_ms)
+        actions += _on_removed(state, name, event.now_ms)
+    for expiring in event.missing:
+        actions += _add_missing(state, expiring, event.now_ms)
     return actions
 
 
-def _take_doubt(state, doubt, now_ms):
+def _add_missing(state, expiring, now_ms):
     """Expiring what a peer doubts, for no longer than it does."""
-    name = doubt.entry.name
-    until_ms = now_ms + doubt.left_ms
-    if name in state.doubted:
-        state.doubted[name] = min(state.doubted[name], until_ms)
+    name = expiring.entry.name
+    until_ms = now_ms + expiring.left_ms
+    if name in state.missing:
+        state.missing[name] = min(state.missing[name], until_ms)
         return []
     if name in state.entries:
         return []
-    state.entries[name] = doubt.entry
-    state.doubted[name] = until_ms
-    return [EntryDoubted(doubt.entry)]
+    state.entries[name] = expiring.entry
+    state.missing[name] = until_ms
+    return [EntryMissing(expiring.entry)]
 
 
-def _changed(state, event):
+def _on_changed(state, event):
     is_late = event.revision < state.revision
     state.revision = max(state.revision, event.revision)
     actions = []
@@ -154,9 +154,9 @@
         if is_late and _is_other_start(state, entry):
             # Its earlier start, of which all flows are lost.
             continue
-        actions += _written(state, entry)
+        actions += _on_written(state, entry)
     for name in event.removed:
-        actions += _removed(state, name, event.now_ms)
+        actions += _on_removed(state, name, event.now_ms)
     return actions
 
 
@@ -165,36 +165,36 @@
     return known is not None and entry.is_other_start(known)
 
 
-def _written(state, entry):
-    was_doubted = state.doubted.pop(entry.name, None) is not None
-    if state.entries.get(entry.name) == entry and not was_doubted:
+def _on_written(state, entry):
+    was_missing = state.missing.pop(entry.name, None) is not None
+    if state.entries.get(entry.name) == entry and not was_missing:
         return []
     state.entries[entry.name] = entry
-    return [EntryBelieved(entry)]
+    return [EntryUpdated(entry)]
 
 
-def _removed(state, name, now_ms):
+def _on_removed(state, name, now_ms):
     entry = state.entries.get(name)
-    if entry is None or name in state.doubted:
+    if entry is None or name in state.missing:
         return []
     if entry.draining:
-        return _gone(state, name)
-    state.doubted[name] = now_ms + LAPSE_MS
+        return _remove(state, name)
+    state.missing[name] = now_ms + MISSING_GRACE_MS
     if now_ms < state.trusted_from_ms:
         return []
-    return [EntryDoubted(entry)]
+    return [EntryMissing(entry)]
 
 
-def _gone(state, name):
-    state.doubted.pop(name, None)
+def _remove(state, name):
+    state.missing.pop(name, None)
     entry = state.entries.pop(name)
-    return [EntryGone(entry)]
+    return [EntryRemoved(entry)]
 
 
 def _expire(state, now_ms):
     actions = []
-    for name, until_ms in list(state.doubted.items()):
+    for name, until_ms in list(state.missing.items()):
         # Further trouble may have moved the time.
         if now_ms >= max(until_ms, state.trusted_from_ms):
-            actions += _gone(state, name)
+            actions += _remove(state, name)
     return actions
--- a/src/liftmount/_internal/decisions/spreading.py
+++ b/src/liftmount/_internal/decisions/dissemination.py
@@ -14,10 +14,10 @@
 
 from liftmount._internal.decisions import evacuations
 from liftmount._internal.decisions.evacuations import EvacuationState
-from liftmount._internal.decisions.following import FIRST_PROOF_MS
-from liftmount._internal.decisions.following import freshness_times
-from liftmount._internal.decisions.following import FreshnessTimes
-from liftmount._internal.decisions.following import READ_MARGIN_MS
+from liftmount._internal.decisions.list_watch import freshness_times
+from liftmount._internal.decisions.list_watch import FreshnessTimes
+from liftmount._internal.decisions.list_watch import READ_MARGIN_MS
+from liftmount._internal.decisions.list_watch import RECHECK_DEADLINE_MS
 from liftmount._internal.decisions.relay import count_between
 from liftmount._internal.decisions.relay import FANOUT
 from liftmount._internal.decisions.relay import find_parent
@@ -28,38 +28,38 @@
 from liftmount._internal.models.feeds import ROUTES
 from liftmount._internal.models.feeds import TARGETS
 from liftmount._internal.models.feeds import TargetUnknown
-from liftmount._internal.models.knowledge import Beat
+from liftmount._internal.models.peer_messages import Heartbeat
 from liftmount._internal.models.records import Message
 from liftmount._internal.models.records import message
 from liftmount._internal.models.records import Tick
 
 # Beats come this often; a beat is some 60 bytes, to eight children 1.2 KB
 # a second with all overhead.
-BEAT_MS = 400
+HEARTBEAT_INTERVAL_MS = 400
 # Who has missed two beats, or whose knowledge is nearly too old, asks peers
 # for a beat.  Views of who is there differ for seconds while many come and
 # go, and a parent then sends nothing to some of its children.
-ASK_AFTER_MS = 1_000
+REQUEST_AFTER_MS = 1_000
 # Between two questions: some fall into the time until the store is read.
-ASK_EVERY_MS = 200
+REQUEST_INTERVAL_MS = 200
 # Questions of a newcomer before it reads the store: by the second one the
 # answers to the first are there.
-ASKS_FIRST = 2
-ASK_MARGIN_MS = 500
+REQUESTS_BEFORE_READ = 2
+REQUEST_MARGIN_MS = 500
 # Members start to read spread over this time, as all miss the same beat.
-SPREAD_MS = 400
+READ_JITTER_MS = 400
 # Members further down the tree begin this much later for each level: those
 # above them tell them by then, if they reach the store.
-LEVEL_MS = 600
+LEVEL_DELAY_MS = 600
 # Until a newcomer has heard who else is there it takes itself for the root,
 # and would read the store for nobody.
-SETTLE_MS = 1_500
+STARTUP_GRACE_MS = 1_500
 # Changes stay in beats for this long, so that one lost beat costs nothing.
-REPEAT_MS = 1_500
+CHANGE_RETENTION_MS = 1_500
 # What a beat may hold of changes: some 90 bytes each, in one datagram.
 MAX_CHANGES = 10
 # Pause between two attempts to get the whole knowledge of a peer.
-PULL_MS = 300
+PULL_INTERVAL_MS = 300
 # Pulls at the same time, each from another peer: the second one is for the
 # case that the first peer has died.  Whole knowledge of 27,000 targets takes
 # seconds on a link of 5 Mbit/s, and each further copy would slow all down.
@@ -69,28 +69,28 @@
 NEVER_MS = -3_600_000
 
 # Why a member reads that is not the root.
-NOT_PROVEN = 'not proven since its start'
-NO_BEAT = 'no beat'
-OLD_BEATS = 'old beats'
-HELPING = (NO_BEAT, OLD_BEATS)
+NOT_CONFIRMED = 'not proven since its start'
+NO_HEARTBEAT = 'no beat'
+STALE_HEARTBEATS = 'old beats'
+FALLBACK_REASONS = (NO_HEARTBEAT, STALE_HEARTBEATS)
 
 
 @message
-class OrderChanged(Message):
+class RelayOrderChanged(Message):
     """The members of the domain in the order of the relay tree.
 
-    ``far`` names some live members of other domains.
+    ``remote`` names some live members of other domains.
     """
 
     order: tuple[str, ...]
-    far: tuple[str, ...] = ()
+    remote: tuple[str, ...] = ()
 
 
 @message
-class BeatArrived(Message):
+class HeartbeatReceived(Message):
     """A beat of a peer arrived."""
 
-    beat: Beat
+    heartbeat: Heartbeat
     now_ms: int
 
 
@@ -99,12 +99,12 @@
     """Our own call to the store, for one feed, was answered."""
 
     feed: str
-    news: Listing | Delta
+    update: Listing | Delta
     now_ms: int
 
 
 @message
-class KnowledgeChanged(Message):
+class RevisionsChanged(Message):
     """What this balancer holds; revisions and version only grow.
 
     ``evacuated`` is None if it is not known which domains are.
@@ -124,7 +124,7 @@
 
 
 @message
-class PeerKnows(Message):
+class PeerDiffers(Message):
     """A peer of any domain holds another version, and we know little."""
 
     peer: str
@@ -132,20 +132,20 @@
 
 
 @message
-class ReadNow(Message):
+class PollStore(Message):
     """Ask the store at once for what changed in targets."""
 
 
 @message
-class SendBeat(Message):
+class SendHeartbeat(Message):
     """Send a beat to the children in the tree."""
 
-    beat: Beat
+    heartbeat: Heartbeat
     children: tuple[str, ...]
 
 
 @message
-class BeatAsked(Message):
+class HeartbeatRequested(Message):
     """A peer has heard no beat, or only old ones, and asks for one."""
 
     sender: str
@@ -153,14 +153,14 @@
 
 
 @message
-class AskForBeat(Message):
+class RequestHeartbeat(Message):
     """Ask peers for a beat."""
 
     peers: tuple[str, ...]
 
 
 @message
-class TakeOver(Message):
+class ApplyDelta(Message):
     """Take over news of targets that a beat brought."""
 
     delta: Delta
@@ -187,46 +187,46 @@
 
 
 @message
-class SetReading(Message):
+class SetStoreReader(Message):
     """Begin or end to read the store; ``reason`` says why."""
 
-    is_reading: bool
+    is_reader: bool
     reason: str
 
     @property
-    def is_helping(self) -> bool:
+    def is_fallback(self) -> bool:
         """Tell whether another one reads it too, as far as is known."""
-        return self.reason in HELPING
+        return self.reason in FALLBACK_REASONS
 
 
 @define
 class _Change:
     delta: Delta
-    taken_ms: int
+    recorded_ms: int
 
 
 @define
-class SpreadState:
+class DisseminationState:
     """Place in the tree, freshness, and the news of late.
 
     ``confirmed_ms`` is when the store last confirmed what is held, as
     told by beats; ``read_ms`` the same of our own calls, by feed.
     ``pulled_from`` names the peers from which knowledge is under way.
     ``process_ms`` is when the process began, some time before this state,
-    and ``all_new_ms`` when a peer last told that it has no fresher knowledge
+    and ``stale_peer_ms`` when a peer last told that it has no fresher knowledge
     either: then all have started of late.
     """
 
     name: str
     started_ms: int
-    spread: float = 0.5
+    jitter: float = 0.5
     times: FreshnessTimes = Factory(freshness_times)
     order: tuple[str, ...] = ()
-    far: tuple[str, ...] = ()
-    is_reading: bool = True
+    remote: tuple[str, ...] = ()
+    is_reader: bool = True
     process_ms: int = Factory(lambda self: self.started_ms, takes_self=True)
-    heard_ms: int = 0
-    all_new_ms: int = NEVER_MS
+    last_received_ms: int = 0
+    stale_peer_ms: int = NEVER_MS
     confirmed_ms: int = NEVER_MS
     read_ms: dict[str, int] = Factory(dict)
     feeds: tuple[str, ...] = (ROUTES, TARGETS, EVACUATIONS)
@@ -235,10 +235,10 @@
     routes_revision: int = 0
     routes_version: int = 0
     changes: list[_Change] = Factory(list)
-    next_beat_ms: int = 0
+    next_send_ms: int = 0
     next_pull_ms: int = 0
-    next_ask_ms: int = 0
-    asked: int = 0
+    next_request_ms: int = 0
+    requests_sent: int = 0
     pulled_from: set[str] = Factory(set)
 
     @property
@@ -253,186 +253,194 @@
         first = self.order.index(self.name) * FANOUT + 1
         return self.order[first : first + FANOUT]
 
-    def known_as_of_ms(self) -> int:
+    def last_confirmed_ms(self) -> int:
         """Return when the store last confirmed what is held here."""
         own_ms = min(self.read_ms.get(feed, NEVER_MS) for feed in self.feeds)
         return max(self.confirmed_ms, own_ms)
 
 
-def decide(state: SpreadState, event) -> list:
+def decide(state: DisseminationState, event) -> list:
     """Return the actions for an event."""
     match event:
-        case OrderChanged():
+        case RelayOrderChanged():
             state.order = event.order
-            state.far = event.far
+            state.remote = event.remote
             return []
-        case KnowledgeChanged():
-            return _knowledge(state, event)
+        case RevisionsChanged():
+            return _update_revisions(state, event)
         case StoreAnswered():
-            return _answered(state, event)
-        case BeatArrived():
-            return _beat(state, event.beat, event.now_ms)
-        case BeatAsked():
-            return [SendBeat(make_beat(state, event.now_ms), (event.sender,))]
+            return _on_store_answer(state, event)
+        case HeartbeatReceived():
+            return _on_heartbeat(state, event.heartbeat, event.now_ms)
+        case HeartbeatRequested():
+            return [
+                SendHeartbeat(
+                    make_heartbeat(state, event.now_ms), (event.sender,)
+                )
+            ]
         case PullEnded():
             state.pulled_from.discard(event.peer)
             return []
         case TargetUnknown():
-            return _unknown(state, event.now_ms)
-        case PeerKnows():
+            return _find_target(state, event.now_ms)
+        case PeerDiffers():
             return _pull(state, event.peer, event.now_ms, Scope.ALL)
         case Tick():
             return _tick(state, event.now_ms)
     raise TypeError(f'unknown event {event!r}')
 
 
-def _knowledge(state, event):
+def _update_revisions(state, event):
     if event.targets_revision > state.targets_revision:
         # The changes held do not lead to what was just taken over whole.
         state.changes.clear()
     state.targets_revision = event.targets_revision
     state.routes_revision = event.routes_revision
     if event.evacuated is not None:
-        _note_evacuated(state, event.evacuated)
+        _apply_evacuated(state, event.evacuated)
     is_newer = event.routes_version > state.routes_version
     state.routes_version = event.routes_version
     if is_newer:
         # Children pull a new configuration as soon as they hear of it.
-        state.next_beat_ms = 0
+        state.next_send_ms = 0
     return []
 
 
-def _note_evacuated(state, news):
+def _apply_evacuated(state, update):
     """Note which domains are evacuated; children hear of a change at once."""
-    if evacuations.decide(state.evacuations, news):
-        state.next_beat_ms = 0
+    if evacuations.decide(state.evacuations, update):
+        state.next_send_ms = 0
 
 
-def _answered(state, event):
-    news = event.news
-    may_lag = isinstance(news, Listing) and news.may_lag
+def _on_store_answer(state, event):
+    update = event.update
+    may_lag = isinstance(update, Listing) and update.may_lag
     if not may_lag:
         # What took long to arrive is as old as its beginning.
-        state.read_ms[event.feed] = event.now_ms - news.age_ms
+        state.read_ms[event.feed] = event.now_ms - update.age_ms
     if event.feed == TARGETS:
-        if isinstance(news, Delta):
-            _note_change(state, news, event.now_ms)
-        elif news.revision > state.targets_revision:
+        if isinstance(update, Delta):
+            _record_change(state, update, event.now_ms)
+        elif update.revision > state.targets_revision:
             state.changes.clear()
-        state.targets_revision = max(state.targets_revision, news.revision)
+        state.targets_revision = max(state.targets_revision, update.revision)
         return []
     if event.feed == EVACUATIONS:
-        _note_evacuated(state, news)
+        _apply_evacuated(state, update)
         return []
-    state.routes_revision = max(state.routes_revision, news.revision)
-    items = news.items if isinstance(news, Listing) else news.written
+    state.routes_revision = max(state.routes_revision, update.revision)
+    items = update.items if isinstance(update, Listing) else update.written
     version = max((one.version for one in items), default=0)
     if version > state.routes_version:
         state.routes_version = version
-        state.next_beat_ms = 0
+        state.next_send_ms = 0
     return []
 
 
-def _note_change(state, delta, now_ms):
+def _record_change(state, delta, now_ms):
     if state.changes and delta.base > state.changes[-1].delta.revision:
         state.changes.clear()
     state.changes.append(_Change(delta, now_ms))
     if delta.written or delta.removed:
-        state.next_beat_ms = 0
+        state.next_send_ms = 0
 
 
-def _beat(state, beat, now_ms):
-    state.heard_ms = now_ms
-    if beat.age_ms > state.times.stale_ms:
-        state.all_new_ms = now_ms
-    is_behind = beat.routes_version > state.routes_version
-    if beat.routes_version == state.routes_version:
+def _on_heartbeat(state, heartbeat, now_ms):
+    state.last_received_ms = now_ms
+    if heartbeat.age_ms > state.times.stale_ms:
+        state.stale_peer_ms = now_ms
+    is_behind = heartbeat.routes_version > state.routes_version
+    if heartbeat.routes_version == state.routes_version:
         state.routes_revision = max(
-            state.routes_revision, beat.routes_revision
+            state.routes_revision, heartbeat.routes_revision
         )
     actions = []
-    if _has_newer_evacuated(state, beat):
-        _note_evacuated(state, beat.evacuated)
-        actions.append(beat.evacuated)
+    if _has_newer_evacuated(state, heartbeat):
+        _apply_evacuated(state, heartbeat.evacuated)
+        actions.append(heartbeat.evacuated)
     is_gap = False
-    if beat.targets_revision > state.targets_revision:
-        if state.targets_revision >= beat.base:
+    if heartbeat.targets_revision > state.targets_revision:
+        if state.targets_revision >= heartbeat.base:
             delta = Delta(
-                beat.written,
-                beat.removed,
-                beat.targets_revision,
-                beat.base,
+                heartbeat.written,
+                heartbeat.removed,
+                heartbeat.targets_revision,
+                heartbeat.base,
             )
-            _note_change(state, delta, now_ms)
-            state.targets_revision = beat.targets_revision
-            actions.append(TakeOver(delta))
+            _record_change(state, delta, now_ms)
+            state.targets_revision = heartbeat.targets_revision
+            actions.append(ApplyDelta(delta))
         else:
             is_gap = True
     if not (is_behind or is_gap):
-        confirmed_ms = now_ms - beat.age_ms
+        confirmed_ms = now_ms - heartbeat.age_ms
         state.confirmed_ms = max(state.confirmed_ms, confirmed_ms)
         return actions
     scope = Scope.NEWER if is_gap else Scope.ROUTES
-    return [*actions, *_pull(state, beat.sender, now_ms, scope)]
+    return [*actions, *_pull(state, heartbeat.sender, now_ms, scope)]
 
 
-def _has_newer_evacuated(state, beat):
-    told = beat.evacuated
-    if told is None:
+def _has_newer_evacuated(state, heartbeat):
+    received = heartbeat.evacuated
+    if received is None:
         return False
     known = state.evacuations.known
-    return known is None or told.revision > known.revision
+    return known is None or received.revision > known.revision
 
 
-def _unknown(state, now_ms):
+def _find_target(state, now_ms):
     """Look for a target where news of it come first."""
-    if not state.is_reading and state.order:
+    if not state.is_reader and state.order:
         return _pull(state, state.order[0], now_ms, Scope.ALL)
     if now_ms < state.next_pull_ms:
         return []
-    state.next_pull_ms = now_ms + PULL_MS
-    return [ReadNow()]
+    state.next_pull_ms = now_ms + PULL_INTERVAL_MS
+    return [PollStore()]
 
 
 def _pull(state, peer, now_ms, scope):
     is_busy = len(state.pulled_from) >= MAX_PULLS
     if now_ms < state.next_pull_ms or peer in state.pulled_from or is_busy:
         return []
-    state.next_pull_ms = now_ms + PULL_MS
+    state.next_pull_ms = now_ms + PULL_INTERVAL_MS
     state.pulled_from.add(peer)
     return [Pull(peer, scope)]
 
 
 def _tick(state, now_ms):
-    actions = _choose_reading(state, now_ms)
-    if now_ms >= state.next_beat_ms:
-        state.next_beat_ms = now_ms + BEAT_MS
+    actions = _update_role(state, now_ms)
+    if now_ms >= state.next_send_ms:
+        state.next_send_ms = now_ms + HEARTBEAT_INTERVAL_MS
         children = state.children()
         if children:
-            actions.append(SendBeat(make_beat(state, now_ms), children))
-    return [*actions, *_ask(state, now_ms)]
+            actions.append(
+                SendHeartbeat(make_heartbeat(state, now_ms), children)
+            )
+    return [*actions, *_request_heartbeat(state, now_ms)]
 
 
-def _ask(state, now_ms):
+def _request_heartbeat(state, now_ms):
     """Ask peers for a beat before the store has to be read."""
-    heard_ms = max(state.heard_ms, state.started_ms)
-    known_ms = max(state.known_as_of_ms(), state.started_ms)
-    is_silent = not state.is_root and now_ms - heard_ms > ASK_AFTER_MS
-    is_old = now_ms - known_ms > state.times.stale_ms - ASK_MARGIN_MS
+    last_received_ms = max(state.last_received_ms, state.started_ms)
+    known_ms = max(state.last_confirmed_ms(), state.started_ms)
+    is_silent = (
+        not state.is_root and now_ms - last_received_ms > REQUEST_AFTER_MS
+    )
+    is_old = now_ms - known_ms > state.times.stale_ms - REQUEST_MARGIN_MS
     # What a newcomer read at first may lag; others mostly know better.
-    is_unproven = state.known_as_of_ms() < state.process_ms
-    is_asking = is_silent or is_old or is_unproven
-    if not is_asking or now_ms < state.next_ask_ms:
+    is_unconfirmed = state.last_confirmed_ms() < state.process_ms
+    is_needed = is_silent or is_old or is_unconfirmed
+    if not is_needed or now_ms < state.next_request_ms:
         return []
-    state.next_ask_ms = now_ms + ASK_EVERY_MS
-    peers = _whom_to_ask(state)
+    state.next_request_ms = now_ms + REQUEST_INTERVAL_MS
+    peers = _choose_peers(state)
     if not peers:
         return []
-    state.asked += 1
-    return [AskForBeat(peers)]
+    state.requests_sent += 1
+    return [RequestHeartbeat(peers)]
 
 
-def _whom_to_ask(state):
+def _choose_peers(state):
     """Return the parent, another member of the domain, and one of another.
 
     The parent may not know of its child, the domain may have lost its way to
@@ -444,88 +452,90 @@
         peers.append(parent)
     if state.name in state.order and len(state.order) > 1:
         place = state.order.index(state.name)
-        turn = 1 + state.asked % (len(state.order) - 1)
+        turn = 1 + state.requests_sent % (len(state.order) - 1)
         peers.append(state.order[(place + turn) % len(state.order)])
-    if state.far:
-        turn = round(state.spread * len(state.far)) + state.asked
-        peers.append(state.far[turn % len(state.far)])
+    if state.remote:
+        turn = round(state.jitter * len(state.remote)) + state.requests_sent
+        peers.append(state.remote[turn % len(state.remote)])
     return tuple(dict.fromkeys(peers))
 
 
-def _choose_reading(state, now_ms):
-    wanted, reason = _wants_reading(state, now_ms)
-    if wanted == state.is_reading:
+def _update_role(state, now_ms):
+    wanted, reason = _should_read(state, now_ms)
+    if wanted == state.is_reader:
         return []
-    state.is_reading = wanted
-    return [SetReading(wanted, reason)]
+    state.is_reader = wanted
+    return [SetStoreReader(wanted, reason)]
 
 
-def _wants_reading(state, now_ms):
-    knows_all = (
+def _should_read(state, now_ms):
+    has_all = (
         state.targets_revision
         and state.routes_version
         and state.evacuations.known
     )
     is_new = now_ms - state.started_ms < state.times.stale_ms
-    if knows_all and is_new and _lacks_proof(state, now_ms):
-        return True, NOT_PROVEN
-    if knows_all and now_ms - state.started_ms < SETTLE_MS:
+    if has_all and is_new and _is_confirmation_overdue(state, now_ms):
+        return True, NOT_CONFIRMED
+    if has_all and now_ms - state.started_ms < STARTUP_GRACE_MS:
         return False, 'started of late'
     if state.is_root:
         return True, 'root'
-    if not knows_all and now_ms - state.heard_ms > state.times.silent_ms:
+    if not has_all and now_ms - state.last_received_ms > state.times.silent_ms:
         # Who hears beats is fed as soon as the root knows.
         return True, 'nothing known'
     if is_new:
         # The others may still be learning who is there.
         return False, 'started of late'
-    pause_ms = state.spread * SPREAD_MS
-    if now_ms - state.heard_ms > state.times.silent_ms + pause_ms:
-        return True, NO_BEAT
-    late_ms = now_ms - state.known_as_of_ms() - state.times.stale_ms
+    pause_ms = state.jitter * READ_JITTER_MS
+    if now_ms - state.last_received_ms > state.times.silent_ms + pause_ms:
+        return True, NO_HEARTBEAT
+    late_ms = now_ms - state.last_confirmed_ms() - state.times.stale_ms
     if late_ms > pause_ms:
         levels = count_between(state.order, state.name)
-        if late_ms > pause_ms + levels * LEVEL_MS:
-            return True, OLD_BEATS
-    beat_age_ms = now_ms - state.confirmed_ms
-    if state.is_reading and beat_age_ms > state.times.fresh_ms:
-        return True, OLD_BEATS
+        if late_ms > pause_ms + levels * LEVEL_DELAY_MS:
+            return True, STALE_HEARTBEATS
+    heartbeat_age_ms = now_ms - state.confirmed_ms
+    if state.is_reader and heartbeat_age_ms > state.times.fresh_ms:
+        return True, STALE_HEARTBEATS
     return False, 'fresh beats'
 
 
-def _lacks_proof(state, now_ms):
+def _is_confirmation_overdue(state, now_ms):
     """Tell whether a newcomer serves too long by what it read at first.
 
     Those lists may lag by seconds, and a start takes seconds on a small
     instance, whose bounds hold from a fixed time after it was started on.
     """
-    if state.known_as_of_ms() >= state.process_ms:
+    if state.last_confirmed_ms() >= state.process_ms:
         return False
-    if now_ms - state.all_new_ms <= state.times.silent_ms:
+    if now_ms - state.stale_peer_ms <= state.times.silent_ms:
         return False
     age_ms = now_ms - state.process_ms
-    if state.is_reading:
+    if state.is_reader:
         # The call that proves it is under way.
-        return age_ms > FIRST_PROOF_MS
-    if state.asked < ASKS_FIRST:
+        return age_ms > RECHECK_DEADLINE_MS
+    if state.requests_sent < REQUESTS_BEFORE_READ:
         # Those that it asks may know better.
         return False
     limit_ms = state.times.stale_ms - READ_MARGIN_MS
-    return age_ms > limit_ms + state.spread * SPREAD_MS
+    return age_ms > limit_ms + state.jitter * READ_JITTER_MS
 
 
-def make_beat(state: SpreadState, now_ms: int) -> Beat:
+def make_heartbeat(state: DisseminationState, now_ms: int) -> Heartbeat:
     """Return the beat to send now, with the changes of late."""
     state.changes = [
-        one for one in state.changes if now_ms - one.taken_ms <= REPEAT_MS
+        one
+        for one in state.changes
+        if now_ms - one.recorded_ms <= CHANGE_RETENTION_MS
     ]
     base, written, removed = _merge(state.changes)
     if len(written) + len(removed) > MAX_CHANGES:
         # Too much for a datagram: whoever is behind gets all of it.
         base, written, removed = None, (), ()
-    return Beat(
+    return Heartbeat(
         sender=state.name,
-        age_ms=max(0, now_ms - state.known_as_of_ms()),
+        age_ms=max(0, now_ms - state.last_confirmed_ms()),
         base=state.targets_revision if base is None else base,
         targets_revision=state.targets_revision,
         routes_revision=state.routes_revision,
--- a/src/liftmount/_internal/decisions/evacuations.py
+++ b/src/liftmount/_internal/decisions/evacuations.py
@@ -35,29 +35,31 @@
         return self.known.revision if self.known else 0
 
 
-def decide(state: EvacuationState, news: Listing | Delta | Evacuated) -> list:
+def decide(
+    state: EvacuationState, update: Listing | Delta | Evacuated
+) -> list:
     """Return an EvacuationsChanged if other domains are evacuated now.
 
     The items of a Listing and of a Delta are names of failure domains.
     """
     before = state.known
-    if before is not None and news.revision <= before.revision:
+    if before is not None and update.revision <= before.revision:
         # Peers and lists that lag must not take anything back.
         return []
     known = before.domains if before else frozenset()
-    domains = _domains_after(known, news)
-    state.known = Evacuated(domains, news.revision)
+    domains = _domains_after(known, update)
+    state.known = Evacuated(domains, update.revision)
     if before is not None and domains == known:
         return []
     return [EvacuationsChanged(domains, domains - known, known - domains)]
 
 
-def _domains_after(known, news):
-    match news:
+def _domains_after(known, update):
+    match update:
         case Evacuated(domains):
             return domains
         case Listing(items):
             return frozenset(items)
         case Delta(written, removed):
             return (known | set(written)) - set(removed)
-    raise TypeError(f'unknown news {news!r}')
+    raise TypeError(f'unknown news {update!r}')
--- a/src/liftmount/_internal/decisions/confirming.py
+++ b/src/liftmount/_internal/decisions/freshness.py
@@ -24,14 +24,14 @@
 
 # Answers on two connections overtake each other by some milliseconds, by
 # tens on a busy balancer; a change may wait for no longer than its bound.
-OVERTAKE_MS = 150
+CONFIRM_TIMEOUT_MS = 150
 # The kind whose own answers prove it: targets change most often, so that
 # answers about them come anyway.
-PROVER = TARGETS
-RELYING = (ROUTES, EVACUATIONS)
+PRIMARY_FEED = TARGETS
+DEPENDENT_FEEDS = (ROUTES, EVACUATIONS)
 # Changes kept while one kind is not answered for; beyond it that kind is
 # asked, which costs one call.
-MAX_SEEN = 4_096
+MAX_TRACKED_REVISIONS = 4_096
 
 
 @message
@@ -39,12 +39,12 @@
     """The store answered about a feed."""
 
     feed: str
-    news: Listing | Delta
+    update: Listing | Delta
     now_ms: int
 
 
 @message
-class ReadingBegun(Message):
+class ReadingStarted(Message):
     """All feeds ask anew, and the others rely on the prover from now on."""
 
 
@@ -64,102 +64,102 @@
 
 
 @define
-class ConfirmingState:
+class FreshnessState:
     """What is known of the changes of late.
 
     ``known`` maps feeds to the revision as of which they are known,
-    ``seen`` revisions to the feed that changed then.  ``relying`` are the
-    feeds that rely on the answers of others; ``goals`` tells since when an
+    ``changes`` revisions to the feed that changed then.  ``dependent`` are the
+    feeds that rely on the answers of others; ``unconfirmed_since_ms`` tells since when an
     answer has not confirmed one.
     """
 
     known: dict[str, int] = Factory(dict)
-    seen: dict[int, str] = Factory(dict)
-    relying: set[str] = Factory(set)
-    goals: dict[str, int] = Factory(dict)
+    changes: dict[int, str] = Factory(dict)
+    dependent: set[str] = Factory(set)
+    unconfirmed_since_ms: dict[str, int] = Factory(dict)
 
 
-def decide(state: ConfirmingState, event) -> list:
+def decide(state: FreshnessState, event) -> list:
     """Return the Confirm and Ask that follow from an event."""
     match event:
         case Answered():
-            return _answered(state, event)
-        case ReadingBegun():
+            return _on_answer(state, event)
+        case ReadingStarted():
             state.known.clear()
-            state.seen.clear()
-            state.goals.clear()
-            state.relying = set(RELYING)
+            state.changes.clear()
+            state.unconfirmed_since_ms.clear()
+            state.dependent = set(DEPENDENT_FEEDS)
             return []
         case Tick():
-            return _overdue(state, event.now_ms)
+            return _ask_unconfirmed(state, event.now_ms)
     raise TypeError(f'unknown event {event!r}')
 
 
-def failures_of(state: ConfirmingState, feed: str) -> int:
+def count_affected_feeds(state: FreshnessState, feed: str) -> int:
     """Return for how many feeds a failed call of one speaks.
 
     Whoever relies on the prover makes no calls of its own by which it would
     notice that the store is out of reach.
     """
-    return 1 + len(state.relying) if feed == PROVER else 1
+    return 1 + len(state.dependent) if feed == PRIMARY_FEED else 1
 
 
-def _answered(state, event):
-    news = event.news
-    if isinstance(news, Delta):
-        for revision in news.changes:
-            state.seen[revision] = event.feed
-    elif news.may_lag:
+def _on_answer(state, event):
+    update = event.update
+    if isinstance(update, Delta):
+        for revision in update.changes:
+            state.changes[revision] = event.feed
+    elif update.may_lag:
         return []
     before = state.known.get(event.feed, 0)
-    state.known[event.feed] = max(before, news.revision)
-    state.goals.pop(event.feed, None)
+    state.known[event.feed] = max(before, update.revision)
+    state.unconfirmed_since_ms.pop(event.feed, None)
     actions = []
-    for feed in RELYING:
+    for feed in DEPENDENT_FEEDS:
         if feed != event.feed:
             actions += _confirm(state, feed, event)
-    _forget_old(state)
+    _drop_old(state)
     return actions
 
 
 def _confirm(state, feed, event):
-    revision = event.news.revision
+    revision = event.update.revision
     known = state.known.get(feed)
-    if known is None or not _is_accounted(state, feed, known, revision):
-        if event.feed == PROVER:
-            state.goals.setdefault(feed, event.now_ms)
+    if known is None or not _is_unchanged(state, feed, known, revision):
+        if event.feed == PRIMARY_FEED:
+            state.unconfirmed_since_ms.setdefault(feed, event.now_ms)
         return []
     if revision < known:
         return []
     state.known[feed] = revision
-    state.relying.add(feed)
-    state.goals.pop(feed, None)
-    age_ms = event.news.age_ms
+    state.dependent.add(feed)
+    state.unconfirmed_since_ms.pop(feed, None)
+    age_ms = event.update.age_ms
     return [Confirm(feed, Delta((), (), revision, known, age_ms))]
 
 
-def _is_accounted(state, feed, known, revision):
+def _is_unchanged(state, feed, known, revision):
     """Tell whether all since a feed was known were changes of others."""
     since = range(known + 1, revision + 1)
     # Its own change is told by its own answer, which is still to come.
-    return all(state.seen.get(one, feed) != feed for one in since)
+    return all(state.changes.get(one, feed) != feed for one in since)
 
 
-def _forget_old(state):
-    if len(state.seen) > MAX_SEEN:
-        state.seen.clear()
+def _drop_old(state):
+    if len(state.changes) > MAX_TRACKED_REVISIONS:
+        state.changes.clear()
     oldest = min(state.known.values())
-    for revision in [one for one in state.seen if one <= oldest]:
-        del state.seen[revision]
+    for revision in [one for one in state.changes if one <= oldest]:
+        del state.changes[revision]
 
 
-def _overdue(state, now_ms):
+def _ask_unconfirmed(state, now_ms):
     actions = []
-    for feed, since_ms in list(state.goals.items()):
-        if now_ms - since_ms < OVERTAKE_MS:
+    for feed, since_ms in list(state.unconfirmed_since_ms.items()):
+        if now_ms - since_ms < CONFIRM_TIMEOUT_MS:
             continue
-        del state.goals[feed]
-        if feed in state.relying:
-            state.relying.discard(feed)
+        del state.unconfirmed_since_ms[feed]
+        if feed in state.dependent:
+            state.dependent.discard(feed)
             actions.append(Ask(feed))
     return actions
--- a/src/liftmount/_internal/decisions/membership.py
+++ b/src/liftmount/_internal/decisions/membership.py
@@ -32,9 +32,9 @@
 ACK = 2
 PING_REQUEST = 3
 MESSAGE_FIELDS = 7
-HELPERS = 2
+INDIRECT_PROBES = 2
 UPDATES_PER_MESSAGE = 6
-UPDATES_FOR_NEWCOMER = 10
+UPDATES_FOR_JOINING = 10
 RETRANSMIT_FACTOR = 3
 # A dead member is probed now and then, so that healed cuts are noticed.
 DEAD_PROBE_PERIODS = 4
@@ -95,7 +95,7 @@
 class _Probe:
     target: str
     sent_ms: int
-    helped: bool = False
+    is_indirect: bool = False
 
 
 @define
@@ -155,7 +155,7 @@
         case Tick():
             return _tick(state, event.now_ms)
         case MessageArrived():
-            return _message(state, event)
+            return _on_message(state, event)
     raise TypeError(f'unknown event {event!r}')
 
 
@@ -163,7 +163,7 @@
     """Tell the group something new of this member."""
     version = state.own.version + 1
     state.own = changed(state.own, version=version, **changes)
-    _spread(state, state.own.name)
+    _queue_gossip(state, state.own.name)
 
 
 def learn_all(state: MembershipState, members, now_ms: int) -> list:
@@ -174,9 +174,9 @@
     """
     actions = []
     for member in members:
-        was_telling = member.name in state.gossip
+        was_queued = member.name in state.gossip
         actions += learn(state, member, now_ms)
-        if member.name != state.own.name and not was_telling:
+        if member.name != state.own.name and not was_queued:
             state.gossip.pop(member.name, None)
     return actions
 
@@ -184,7 +184,7 @@
 def learn(state: MembershipState, member: Member, now_ms: int) -> list:
     """Take over a record if it is newer than what is known."""
     if member.name == state.own.name:
-        return _about_self(state, member)
+        return _refute(state, member)
     known = state.members.get(member.name)
     if known is not None and not member.newer_than(known):
         return []
@@ -194,33 +194,33 @@
         state.doubtful.discard(member.name)
     else:
         state.doubtful.add(member.name)
-    _spread(state, member.name)
+    _queue_gossip(state, member.name)
     return [MemberChanged(member)]
 
 
-def _about_self(state, member):
+def _refute(state, member):
     """Refute what others wrongly say of this member."""
     if member.incarnation > state.own.incarnation:
         # An earlier process of this name, before its clock stepped back.
         state.own = changed(state.own, incarnation=member.incarnation + 1)
-        _spread(state, state.own.name)
+        _queue_gossip(state, state.own.name)
         return []
     if member.incarnation != state.own.incarnation:
         return []
     if not member.newer_than(state.own):
         return []
     state.own = changed(state.own, version=member.version + 1)
-    _spread(state, state.own.name)
+    _queue_gossip(state, state.own.name)
     return []
 
 
-def _spread(state, name):
+def _queue_gossip(state, name):
     group = len(state.members) + 2
     state.gossip[name] = RETRANSMIT_FACTOR * ceil(log2(group))
 
 
 def _tick(state, now_ms):
-    _refill(state, now_ms)
+    _refill_credit(state, now_ms)
     actions = _check_probes(state, now_ms)
     actions += _check_suspects(state, now_ms)
     if now_ms >= state.next_period_ms:
@@ -230,7 +230,7 @@
     return actions
 
 
-def _refill(state, now_ms):
+def _refill_credit(state, now_ms):
     rate = state.times.bytes_per_second
     earned = (now_ms - state.credited_ms) * rate / 1000
     state.credit_bytes = min(rate, state.credit_bytes + earned)
@@ -245,20 +245,22 @@
         state.probes[state.sequence] = _Probe(target.name, now_ms)
         actions += _send(state, PING, state.sequence, target.peer)
     if state.periods % DEAD_PROBE_PERIODS == 0 or target is None:
-        actions += _probe_lost(state)
+        actions += _probe_unreachable(state)
     return actions
 
 
-def _probe_lost(state):
+def _probe_unreachable(state):
     """Probe a seed or a dead member that may have come back."""
     doubtful = [state.members[name] for name in sorted(state.doubtful)]
-    lost = [one.peer for one in doubtful if one.status is MemberStatus.DEAD]
+    candidates = [
+        one.peer for one in doubtful if one.status is MemberStatus.DEAD
+    ]
     known = {one.peer for one in state.members.values()}
-    lost += [seed for seed in state.seeds if seed not in known]
-    if not lost:
+    candidates += [seed for seed in state.seeds if seed not in known]
+    if not candidates:
         return []
     state.sequence += 1
-    destination = lost[_random(state, len(lost))]
+    destination = candidates[_random(state, len(candidates))]
     extra = JOIN if not state.reachable() else ''
     return _send(
         state, PING, state.sequence, destination, extra, own_first=True
@@ -293,17 +295,19 @@
         if waited_ms >= state.times.period_ms:
             del state.probes[sequence]
             actions += _suspect(state, probe.target, now_ms)
-        elif not probe.helped and waited_ms >= state.times.probe_timeout_ms:
-            probe.helped = True
-            actions += _ask_helpers(state, sequence, probe.target)
+        elif (
+            not probe.is_indirect and waited_ms >= state.times.probe_timeout_ms
+        ):
+            probe.is_indirect = True
+            actions += _request_indirect_probes(state, sequence, probe.target)
     return actions
 
 
-def _ask_helpers(state, sequence, target):
+def _request_indirect_probes(state, sequence, target):
     member = state.members.get(target)
     others = [one for one in state.reachable() if one.name != target]
     actions = []
-    for _ in range(min(HELPERS, len(others))):
+    for _ in range(min(INDIRECT_PROBES, len(others))):
         helper = others.pop(_random(state, len(others)))
         actions += _send(
             state, PING_REQUEST, sequence, helper.peer, str(member.peer)
@@ -335,14 +339,14 @@
     return actions
 
 
-def _message(state, event):
-    message = _check(event.message)
+def _on_message(state, event):
+    message = _validate(event.message)
     kind, sequence, sender, incarnation, digest, updates, extra = message
     now_ms = event.now_ms
     before = state.members.get(sender)
-    newcomer = before is None or before.incarnation != incarnation
+    is_joining = before is None or before.incarnation != incarnation
     # A restarted member may have been met before it asks for the others.
-    newcomer = newcomer or extra == JOIN
+    is_joining = is_joining or extra == JOIN
     actions = []
     # An answer from a member that is thought dead must not be taken for
     # life by itself: the member refutes what it is told of itself.
@@ -351,17 +355,17 @@
     known = state.members.get(sender)
     destination = event.source if known is None else known.peer
     if kind == PING:
-        actions += _answer(state, sequence, destination, known, newcomer)
+        actions += _send_ack(state, sequence, destination, known, is_joining)
     elif kind == ACK:
-        actions += _acknowledged(state, sequence)
+        actions += _on_ack(state, sequence)
     elif kind == PING_REQUEST:
-        actions += _help(state, sequence, destination, extra)
+        actions += _relay_ping(state, sequence, destination, extra)
     if known is not None and known.reachable and digest != state.digest:
         actions.append(DigestDiffers(known))
     return actions
 
 
-def _check(message):
+def _validate(message):
     if type(message) is not list or len(message) < MESSAGE_FIELDS:
         raise PacketError('membership message is too short')
     message = message[:MESSAGE_FIELDS]
@@ -372,16 +376,16 @@
     return message
 
 
-def _answer(state, sequence, destination, known, newcomer):
-    if newcomer:
-        return _send(state, ACK, sequence, destination, newcomer=True)
+def _send_ack(state, sequence, destination, known, is_joining):
+    if is_joining:
+        return _send(state, ACK, sequence, destination, is_joining=True)
     if not known.reachable:
         # Let it hear what is said of it, so that it can refute.
-        _spread(state, known.name)
+        _queue_gossip(state, known.name)
     return _send(state, ACK, sequence, destination)
 
 
-def _acknowledged(state, sequence):
+def _on_ack(state, sequence):
     relayed = state.relayed.pop(sequence, None)
     if relayed is not None:
         destination, original = relayed
@@ -390,7 +394,7 @@
     return []
 
 
-def _help(state, sequence, asker, target):
+def _relay_ping(state, sequence, requester, target):
     try:
         destination = parse_endpoint(target)
     except ValueError as error:
@@ -398,7 +402,7 @@
     state.sequence += 1
     if len(state.relayed) >= MAX_RELAYED:
         state.relayed.clear()
-    state.relayed[state.sequence] = (asker, sequence)
+    state.relayed[state.sequence] = (requester, sequence)
     return _send(state, PING, state.sequence, destination)
 
 
@@ -408,17 +412,17 @@
     sequence,
     destination,
     extra='',
-    newcomer=False,
+    is_joining=False,
     own_first=False,
 ):
-    limit = UPDATES_FOR_NEWCOMER if newcomer else UPDATES_PER_MESSAGE
-    names = _choose_updates(state, limit, newcomer, own_first)
+    limit = UPDATES_FOR_JOINING if is_joining else UPDATES_PER_MESSAGE
+    names = _choose_updates(state, limit, is_joining, own_first)
     actions = []
     if state.credit_bytes <= 0 and names:
         names = []
         actions.append(BudgetSpent())
     for name in names:
-        _note_told(state, name)
+        _count_transmission(state, name)
     records = [member_record(state.find(name)) for name in names]
     message = [
         kind,
@@ -436,11 +440,11 @@
     return [*actions, SendDatagram(destination, datagram)]
 
 
-def _choose_updates(state, limit, newcomer, own_first):
+def _choose_updates(state, limit, is_joining, own_first):
     names = []
-    if newcomer or own_first:
+    if is_joining or own_first:
         names.append(state.own.name)
-    if newcomer:
+    if is_joining:
         others = [one.name for one in state.reachable()]
         start = _random(state, len(others)) if others else 0
         names += others[start:] + others[:start]
@@ -449,7 +453,7 @@
     return [name for name in names if state.find(name)][:limit]
 
 
-def _note_told(state, name):
+def _count_transmission(state, name):
     left = state.gossip.get(name, 0) - 1
     if left > 0:
         state.gossip[name] = left
--- a/src/liftmount/_internal/decisions/leaving.py
+++ b/src/liftmount/_internal/decisions/shutdown.py
@@ -9,36 +9,36 @@
 from attrs import define
 
 # The fabric drops a balancer that did not say it is ready twice.
-REFUSALS_NEEDED = 2
+MIN_REFUSALS = 2
 # Without a packet for this long after that, the fabric has moved on; flows
 # in use send something every 30 ms on a balancer of the smallest site.
 QUIET_MS = 200
 # The longest that a stopping balancer forwards: two restarts of another
 # balancer, which takes over as soon as it is back.
-FORWARD_ON_MS = 4_500
+MAX_FORWARD_MS = 4_500
 
 
 @define
-class LeavingState:
+class ShutdownState:
     """A planned stop; ``until_ms`` is when it ends at the latest."""
 
     started_ms: int
     until_ms: int
     refusals: int = 0
-    packet_ms: int = 0
+    last_packet_ms: int = 0
 
-    def refused(self) -> None:
+    def record_refusal(self) -> None:
         """Note that the fabric was told that this one is not ready."""
         self.refusals += 1
 
-    def packet(self, now_ms: int) -> None:
+    def record_packet(self, now_ms: int) -> None:
         """Note that the fabric still sends packets."""
-        self.packet_ms = now_ms
+        self.last_packet_ms = now_ms
 
     def may_end(self, now_ms: int) -> bool:
         """Tell whether the process may end."""
-        if now_ms >= min(self.until_ms, self.started_ms + FORWARD_ON_MS):
+        if now_ms >= min(self.until_ms, self.started_ms + MAX_FORWARD_MS):
             return True
-        if self.refusals < REFUSALS_NEEDED:
+        if self.refusals < MIN_REFUSALS:
             return False
-        return now_ms - max(self.packet_ms, self.started_ms) >= QUIET_MS
+        return now_ms - max(self.last_packet_ms, self.started_ms) >= QUIET_MS
--- a/src/liftmount/_internal/models/feeds.py
+++ b/src/liftmount/_internal/models/feeds.py
@@ -66,11 +66,11 @@
 
 
 @message
-class FeedNews(Message):
+class FeedUpdate(Message):
     """A call of a feed was answered."""
 
     feed: str
-    news: Listing | Delta
+    update: Listing | Delta
 
 
 @message
@@ -98,11 +98,11 @@
 
 
 @message
-class Knowledge(Message):
+class Snapshot(Message):
     """All targets, routes and evacuations, each as of a revision.
 
-    ``targets`` are in the store, ``doubted`` have vanished from it of
-    late, and ``former`` are gone, but may still hold flows.  ``evacuated``
+    ``targets`` are in the store, ``missing`` have vanished from it of
+    late, and ``retired`` are gone, but may still hold flows.  ``evacuated``
     is None if that is not known.
     """
 
@@ -110,8 +110,8 @@
     targets_revision: int
     table: RouteTable | None
     routes_revision: int
-    doubted: tuple[Expiring, ...] = ()
-    former: tuple[Expiring, ...] = ()
+    missing: tuple[Expiring, ...] = ()
+    retired: tuple[Expiring, ...] = ()
     evacuated: Evacuated | None = None
 
 
@@ -130,6 +130,6 @@
     died of late; 0 until this one has heard of its whole domain.
     """
 
-    near: int
+    local: int
     is_isolated: bool
     fleet: int = 0
--- a/src/liftmount/_internal/models/knowledge.py
+++ b/src/liftmount/_internal/models/peer_messages.py
@@ -13,7 +13,7 @@
 from liftmount._internal.models.addresses import parse_endpoint
 from liftmount._internal.models.feeds import Evacuated
 from liftmount._internal.models.feeds import Expiring
-from liftmount._internal.models.feeds import Knowledge
+from liftmount._internal.models.feeds import Snapshot
 from liftmount._internal.models.members import Member
 from liftmount._internal.models.members import member_record
 from liftmount._internal.models.members import parse_member
@@ -26,15 +26,15 @@
 from liftmount._internal.models.segments import TargetEntry
 from liftmount._internal.models.segments import WarmUp
 
-BEAT_MARK = 3
-ASK_MARK = 4
-DOUBT_MARK = 5
-# Knowledge of 27,000 targets takes about 2 MB before it is compressed.
-MAX_KNOWLEDGE_BYTES = 64 * 1_048_576
+HEARTBEAT_MARK = 3
+HEARTBEAT_REQUEST_MARK = 4
+STALL_REPORT_MARK = 5
+# Snapshot of 27,000 targets takes about 2 MB before it is compressed.
+MAX_SNAPSHOT_BYTES = 64 * 1_048_576
 
 
 @message
-class Beat(Message):
+class Heartbeat(Message):
     """How fresh the sender's knowledge is, and what changed of late.
 
     ``age_ms`` is the time since the store last confirmed it.  What was
@@ -55,7 +55,7 @@
 
 
 @message
-class Doubt(Message):
+class StallReport(Message):
     """``source`` saw a target stall ``age_ms`` ago, after ``waited_ms``.
 
     ``number`` grows with each stall that the source sees of a target.
@@ -68,40 +68,40 @@
     number: int
 
 
-def encode_beat(beat: Beat) -> bytes:
+def encode_heartbeat(heartbeat: Heartbeat) -> bytes:
     """Return the wire form of a beat."""
     return cbor2.dumps(
         [
-            BEAT_MARK,
-            beat.sender,
-            beat.age_ms,
-            beat.base,
-            beat.targets_revision,
-            beat.routes_revision,
-            beat.routes_version,
-            [_encode_target(one) for one in beat.written],
-            list(beat.removed),
-            _encode_evacuated(beat.evacuated),
+            HEARTBEAT_MARK,
+            heartbeat.sender,
+            heartbeat.age_ms,
+            heartbeat.base,
+            heartbeat.targets_revision,
+            heartbeat.routes_revision,
+            heartbeat.routes_version,
+            [_encode_target(one) for one in heartbeat.written],
+            list(heartbeat.removed),
+            _encode_evacuated(heartbeat.evacuated),
         ]
     )
 
 
-def is_beat(datagram: bytes) -> bool:
+def is_heartbeat(datagram: bytes) -> bool:
     """Tell whether a datagram of a peer is a beat."""
-    return _has_mark(datagram, BEAT_MARK)
+    return _has_mark(datagram, HEARTBEAT_MARK)
 
 
-def encode_ask(sender: str) -> bytes:
+def encode_heartbeat_request(sender: str) -> bytes:
     """Return the wire form of a question for a beat."""
-    return cbor2.dumps([ASK_MARK, sender])
+    return cbor2.dumps([HEARTBEAT_REQUEST_MARK, sender])
 
 
-def is_ask(datagram: bytes) -> bool:
+def is_heartbeat_request(datagram: bytes) -> bool:
     """Tell whether a datagram of a peer asks for a beat."""
-    return _has_mark(datagram, ASK_MARK)
+    return _has_mark(datagram, HEARTBEAT_REQUEST_MARK)
 
 
-def decode_ask(datagram: bytes) -> str:
+def decode_heartbeat_request(datagram: bytes) -> str:
     """Return who asks for a beat; raises PacketError on anything else."""
     try:
         _mark, sender = cbor2.loads(datagram)
@@ -113,37 +113,37 @@
     return sender
 
 
-def encode_doubt(doubt: Doubt) -> bytes:
+def encode_stall_report(report: StallReport) -> bytes:
     """Return the wire form of what one has seen of a target."""
     return cbor2.dumps(
         [
-            DOUBT_MARK,
-            doubt.target,
-            doubt.source,
-            doubt.waited_ms,
-            doubt.age_ms,
-            doubt.number,
+            STALL_REPORT_MARK,
+            report.target,
+            report.source,
+            report.waited_ms,
+            report.age_ms,
+            report.number,
         ]
     )
 
 
-def is_doubt(datagram: bytes) -> bool:
+def is_stall_report(datagram: bytes) -> bool:
     """Tell whether a datagram of a peer tells of a target that stalls."""
-    return _has_mark(datagram, DOUBT_MARK)
+    return _has_mark(datagram, STALL_REPORT_MARK)
 
 
-def decode_doubt(datagram: bytes) -> Doubt:
+def decode_stall_report(datagram: bytes) -> StallReport:
     """Read what one has seen; raises PacketError on anything else."""
     try:
         _mark, target, source, *numbers = cbor2.loads(datagram)
         waited_ms, age_ms, number = (max(0, int(one)) for one in numbers)
-        return Doubt(str(target), str(source), waited_ms, age_ms, number)
+        return StallReport(str(target), str(source), waited_ms, age_ms, number)
     except Exception as error:
         # The library raises whatever the bytes make it stumble over.
         raise PacketError(f'not a doubt: {error}') from error
 
 
-def decode_beat(datagram: bytes) -> Beat:
+def decode_heartbeat(datagram: bytes) -> Heartbeat:
     """Read a beat; raises PacketError on anything else."""
     try:
         _mark, sender, *numbers = cbor2.loads(datagram)
@@ -151,7 +151,7 @@
         age_ms, base, targets_revision, routes_revision, version = map(
             int, numbers
         )
-        return Beat(
+        return Heartbeat(
             sender=str(sender),
             age_ms=age_ms,
             base=base,
@@ -167,37 +167,37 @@
         raise PacketError(f'not a beat: {error}') from error
 
 
-def encode_knowledge(knowledge: Knowledge) -> bytes:
+def encode_snapshot(snapshot: Snapshot) -> bytes:
     """Return the wire form of all knowledge."""
-    table = knowledge.table
+    table = snapshot.table
     document = [
-        [_encode_target(one) for one in knowledge.targets],
-        knowledge.targets_revision,
+        [_encode_target(one) for one in snapshot.targets],
+        snapshot.targets_revision,
         None if table is None else _encode_table(table),
-        knowledge.routes_revision,
-        _encode_expiring(knowledge.doubted),
-        _encode_expiring(knowledge.former),
-        _encode_evacuated(knowledge.evacuated),
+        snapshot.routes_revision,
+        _encode_expiring(snapshot.missing),
+        _encode_expiring(snapshot.retired),
+        _encode_evacuated(snapshot.evacuated),
     ]
     return zlib.compress(cbor2.dumps(document), 1)
 
 
-def decode_knowledge(data: bytes) -> Knowledge:
+def decode_snapshot(data: bytes) -> Snapshot:
     """Read all knowledge; raises PacketError on anything else."""
     try:
         unpacker = zlib.decompressobj()
-        document = unpacker.decompress(data, MAX_KNOWLEDGE_BYTES)
+        document = unpacker.decompress(data, MAX_SNAPSHOT_BYTES)
         targets, targets_revision, table, routes_revision, *old = cbor2.loads(
             document
         )
-        doubted, former, evacuated = old
-        return Knowledge(
+        missing, retired, evacuated = old
+        return Snapshot(
             targets=tuple(_decode_target(one) for one in targets),
             targets_revision=int(targets_revision),
             table=None if table is None else _decode_table(table),
             routes_revision=int(routes_revision),
-            doubted=_decode_expiring(doubted),
-            former=_decode_expiring(former),
+            missing=_decode_expiring(missing),
+            retired=_decode_expiring(retired),
             evacuated=_decode_evacuated(evacuated),
         )
     except Exception as error:
@@ -228,7 +228,7 @@
     """Read the records of members; raises PacketError on anything else."""
     try:
         unpacker = zlib.decompressobj()
-        records = cbor2.loads(unpacker.decompress(data, MAX_KNOWLEDGE_BYTES))
+        records = cbor2.loads(unpacker.decompress(data, MAX_SNAPSHOT_BYTES))
         return [parse_member(one) for one in records]
     except Exception as error:
         # The libraries raise whatever the bytes make them stumble over.
--- a/src/liftmount/_internal/services/beliefs.py
+++ b/src/liftmount/_internal/services/beliefs.py
@@ -18,10 +18,10 @@
 from liftmount._internal.models.feeds import Delta
 from liftmount._internal.models.feeds import Evacuated
 from liftmount._internal.models.feeds import EVACUATIONS
-from liftmount._internal.models.feeds import FeedNews
-from liftmount._internal.models.feeds import Knowledge
+from liftmount._internal.models.feeds import FeedUpdate
 from liftmount._internal.models.feeds import Listing
 from liftmount._internal.models.feeds import ROUTES
+from liftmount._internal.models.feeds import Snapshot
 from liftmount._internal.models.records import Tick
 from liftmount._internal.utils.structured import StructuredLog
 
@@ -40,9 +40,9 @@
     evacuations: EvacuationState = Factory(EvacuationState)
     routes_revision: int = 0
 
-    def take_news(self, posted: FeedNews, now_ms: int) -> list:
+    def take_news(self, posted: FeedUpdate, now_ms: int) -> list:
         """Take over what the store answered."""
-        news = posted.news
+        news = posted.update
         is_listing = isinstance(news, Listing)
         items = news.items if is_listing else news.written
         if posted.feed == ROUTES:
@@ -60,20 +60,20 @@
             )
         return self._settle(directory.decide(self.directory, event), now_ms)
 
-    def take_knowledge(self, known: Knowledge, now_ms: int) -> list:
+    def take_knowledge(self, known: Snapshot, now_ms: int) -> list:
         """Take over all that a peer knows."""
         # First, so that nothing is placed where nothing may go.
         actions = []
         if known.evacuated is not None:
             actions += self.take_evacuated(known.evacuated, now_ms)
-        for one in known.former:
+        for one in known.retired:
             until_ms = now_ms + one.left_ms
             event = flows.FormerTarget(one.entry, until_ms)
             actions += forwarding.decide(self.state, event)
-        if known.targets or known.doubted:
+        if known.targets or known.missing:
             self.state.are_targets_proven = True
             event = directory.TargetsListed(
-                known.targets, known.targets_revision, now_ms, known.doubted
+                known.targets, known.targets_revision, now_ms, known.missing
             )
             found = directory.decide(self.directory, event)
             actions += self._settle(found, now_ms)
@@ -109,7 +109,7 @@
 
     def knowledge(
         self, now_ms: int, revision: int = 0, version: int = 0
-    ) -> Knowledge:
+    ) -> Snapshot:
         """Return what somebody does not know yet.
 
         It knows targets up to ``revision`` and routes of ``version``.
@@ -119,16 +119,16 @@
             table = None
         evacuated = self.evacuations.known
         if revision and self.directory.revision <= revision:
-            return Knowledge(
+            return Snapshot(
                 (), 0, table, self.routes_revision, evacuated=evacuated
             )
-        return Knowledge(
+        return Snapshot(
             targets=self.directory.listed(),
             targets_revision=self.directory.revision,
             table=table,
             routes_revision=self.routes_revision,
-            doubted=self.directory.doubts(now_ms),
-            former=former_targets(self.state, now_ms),
+            missing=self.directory.missing_entries(now_ms),
+            retired=former_targets(self.state, now_ms),
             evacuated=evacuated,
         )
 
@@ -165,13 +165,13 @@
         actions = []
         for action in found:
             match action:
-                case directory.EntryBelieved(entry):
+                case directory.EntryUpdated(entry):
                     event = flows.TargetPut(entry, now_ms)
                     self._log_target('believed', entry)
-                case directory.EntryDoubted(entry):
+                case directory.EntryMissing(entry):
                     event = flows.TargetPut(entry, now_ms, True)
                     self._log_target('doubted', entry)
-                case directory.EntryGone(entry):
+                case directory.EntryRemoved(entry):
                     event = flows.TargetRemoved(entry.name, now_ms)
                     self._log_target('gone', entry)
             actions += forwarding.decide(self.state, event)
--- a/src/liftmount/_internal/services/doubts.py
+++ b/src/liftmount/_internal/services/doubts.py
@@ -1,19 +1,19 @@
 """Tells members of targets that stall, and hears of them."""
 
-from liftmount._internal.decisions import doubts
-from liftmount._internal.models.knowledge import decode_doubt
-from liftmount._internal.models.knowledge import encode_doubt
+from liftmount._internal.decisions import stall_reports
+from liftmount._internal.models.peer_messages import decode_stall_report
+from liftmount._internal.models.peer_messages import encode_stall_report
 
 
 class DoubtTeller:
-    """Carries out what ``decisions/doubts.py`` decides.
+    """Carries out what ``decisions/stall_reports.py`` decides.
 
     ``send(datagram, names)`` sends to members; ``hold_out(action)`` hears
     which target gets no new flows.
     """
 
     def __init__(self, name, send, hold_out, log, counters):
-        self._state = doubts.DoubtState(name)
+        self._state = stall_reports.StallReportState(name)
         self._send = send
         self._hold_out = hold_out
         self._log = log
@@ -26,17 +26,19 @@
     def hear(self, datagram: bytes, now_ms: int) -> None:
         """Take over what a member tells; raises PacketError."""
         self._counters.count('doubts_heard')
-        event = doubts.DoubtArrived(decode_doubt(datagram), now_ms)
+        event = stall_reports.StallReportReceived(
+            decode_stall_report(datagram), now_ms
+        )
         self.decide(event)
 
     def decide(self, event) -> None:
         """Decide on a stall, on what a member told, or on time passed."""
-        for action in doubts.decide(self._state, event):
+        for action in stall_reports.decide(self._state, event):
             match action:
-                case doubts.TellDoubt(doubt, peers):
+                case stall_reports.SendStallReport(doubt, peers):
                     self._counters.count('doubts_told', len(peers))
-                    self._send(encode_doubt(doubt), peers)
-                case doubts.HoldOut():
+                    self._send(encode_stall_report(doubt), peers)
+                case stall_reports.EjectTarget():
                     self._log.write(
                         'targets',
                         'held_out',
--- a/src/liftmount/_internal/services/early.py
+++ b/src/liftmount/_internal/services/early.py
@@ -11,7 +11,7 @@
 
 from liftmount._internal.clock import Clock
 from liftmount._internal.models.entry_settings import EntrySettings
-from liftmount._internal.models.feeds import FeedNews
+from liftmount._internal.models.feeds import FeedUpdate
 from liftmount._internal.models.feeds import Listing
 from liftmount._internal.models.records import changed
 from liftmount._internal.services.packet_path import bind_packets
@@ -156,7 +156,7 @@
             return
         self._end(feed, one)
         early.known[feed] = changed(listing, items=())
-        news = FeedNews(feed, listing)
+        news = FeedUpdate(feed, listing)
         now_ms = early.clock.now_ms()
         early.path.execute(early.path.beliefs.take_news(news, now_ms))
 
--- a/src/liftmount/_internal/services/entry.py
+++ b/src/liftmount/_internal/services/entry.py
@@ -12,8 +12,8 @@
 from attrs import frozen
 
 from liftmount._internal.clock import seconds
-from liftmount._internal.decisions.following import freshness_times
-from liftmount._internal.decisions.following import settle_ms
+from liftmount._internal.decisions.list_watch import freshness_times
+from liftmount._internal.decisions.list_watch import recheck_ms
 from liftmount._internal.exceptions import ConfigurationError
 from liftmount._internal.kernel import Kernel
 from liftmount._internal.services.early import EarlyBalancer
@@ -127,7 +127,7 @@
                 freshness_times(settings.change_bound_ms),
                 self.early.known.get(name),
                 self.early.begun.pop(name, None),
-                settle_ms(age_ms),
+                recheck_ms(age_ms),
             )
             self.kernel.register(service)
 
--- a/src/liftmount/_internal/services/feeds.py
+++ b/src/liftmount/_internal/services/feeds.py
@@ -3,24 +3,24 @@
 import asyncio
 
 from liftmount._internal.clock import seconds
-from liftmount._internal.decisions import following
+from liftmount._internal.decisions import list_watch
 from liftmount._internal.exceptions import HistoryGoneError
 from liftmount._internal.exceptions import PlatformError
 from liftmount._internal.kernel import Service
 from liftmount._internal.models.feeds import FeedFailed
-from liftmount._internal.models.feeds import FeedNews
+from liftmount._internal.models.feeds import FeedUpdate
 from liftmount._internal.models.feeds import ROUTES
 from liftmount._internal.network.http import wait_for_socket
 
 
 class FeedService(Service):
-    """Owns one feed and posts FeedNews and FeedFailed to its listeners.
+    """Owns one feed and posts FeedUpdate and FeedFailed to its listeners.
 
     ``feed`` has ``fetch(may_lag, timeout_ms)`` and ``watch(revision,
     wait_ms, timeout_ms)``, which raise PlatformError.  ``known`` is the
     Listing that the listeners know already, if any, ``begun`` a list that is
     under way with ``socket``, ``is_request_sent``, ``advance()``.  ``times``
-    are FreshnessTimes, ``settle_ms`` is how long after a first list it is
+    are FreshnessTimes, ``recheck_ms`` is how long after a first list it is
     proven.
     """
 
@@ -35,24 +35,26 @@
         times,
         known=None,
         begun=None,
-        settle_ms=following.SETTLE_MS,
+        recheck_ms=list_watch.RECHECK_MS,
     ):
         super().__init__(kernel)
         self.name = name
         self.feed = feed
         self.listeners = listeners
         self.log = log
-        self.state = following.FollowState(
+        self.state = list_watch.ListWatchState(
             jitter=jitter,
             times=times,
-            settle_ms=settle_ms,
+            recheck_ms=recheck_ms,
             is_one_object=name == ROUTES,
         )
-        self._first = following.Started()
+        self._first = list_watch.Started()
         if known is not None:
-            self._first = following.Known(known.revision, known.size_bytes)
+            self._first = list_watch.ListKnown(
+                known.revision, known.size_bytes
+            )
         elif begun is not None:
-            self._first = following.Begun()
+            self._first = list_watch.ListInProgress()
         self._begun = begun
         self._call_task = None
 
@@ -65,11 +67,11 @@
         """Pause, resume, ask at once, or take over what a peer told."""
         match posted:
             case (
-                following.Paused()
-                | following.Resumed()
-                | following.Hurried()
-                | following.Confirmed()
-                | following.Known()
+                list_watch.Paused()
+                | list_watch.Resumed()
+                | list_watch.RefreshRequested()
+                | list_watch.Confirmed()
+                | list_watch.ListKnown()
             ):
                 self._next(posted)
             case _:
@@ -81,11 +83,15 @@
         self._call_task = None
 
     def _next(self, event):
-        for action in following.decide(self.state, event):
+        for action in list_watch.decide(self.state, event):
             match action:
-                case following.Cancel():
+                case list_watch.Cancel():
                     self._cancel()
-                case following.Finish() | following.List() | following.Watch():
+                case (
+                    list_watch.Finish()
+                    | list_watch.List()
+                    | list_watch.Watch()
+                ):
                     task = asyncio.create_task(self._call(action))
                     self._call_task = task
                 case _:
@@ -93,16 +99,16 @@
 
     def _report(self, action):
         match action:
-            case following.DependencyLost(cause):
+            case list_watch.DependencyLost(cause):
                 self.log.write(self.name, 'store_lost', cause=cause)
-            case following.DependencyRegained(failures):
+            case list_watch.DependencyRegained(failures):
                 self.log.write(
                     self.name, 'store_regained', failed_calls=failures
                 )
 
     async def _call(self, action):
         match action:
-            case following.List(after_ms) | following.Watch(after_ms):
+            case list_watch.List(after_ms) | list_watch.Watch(after_ms):
                 if after_ms:
                     await asyncio.sleep(seconds(after_ms))
         event = await self._make_call(action)
@@ -124,16 +130,16 @@
     async def _make_call(self, action):
         try:
             match action:
-                case following.Finish():
+                case list_watch.Finish():
                     return await self._finish()
-                case following.List():
+                case list_watch.List():
                     return await self._list(action)
             return await self._watch(action)
         except HistoryGoneError:
             self.log.write(
                 self.name, 'history_gone', revision=self.state.revision
             )
-            return following.HistoryGone()
+            return list_watch.HistoryGone()
         except PlatformError as error:
             return self._failed(str(error))
         except TimeoutError:
@@ -145,7 +151,7 @@
 
     def _failed(self, cause):
         self._post(FeedFailed(self.name, cause))
-        return following.CallFailed(cause)
+        return list_watch.CallFailed(cause)
 
     async def _finish(self):
         """Receive the rest of a list that was asked for before."""
@@ -155,29 +161,29 @@
                 await wait_for_socket(
                     begun.socket,
                     not begun.is_request_sent,
-                    following.LIST_TIMEOUT_MS,
+                    list_watch.LIST_TIMEOUT_MS,
                 )
         finally:
             begun.socket.close()
-        self._post(FeedNews(self.name, listing))
-        return following.Finished(listing.revision, listing.size_bytes)
+        self._post(FeedUpdate(self.name, listing))
+        return list_watch.Finished(listing.revision, listing.size_bytes)
 
     async def _list(self, action):
         listing = await self.feed.fetch(
-            action.may_lag, following.LIST_TIMEOUT_MS
+            action.may_lag, list_watch.LIST_TIMEOUT_MS
         )
-        self._post(FeedNews(self.name, listing))
-        return following.Listed(listing.revision, listing.size_bytes)
+        self._post(FeedUpdate(self.name, listing))
+        return list_watch.Listed(listing.revision, listing.size_bytes)
 
     async def _watch(self, action):
         delta = await self.feed.watch(
             action.revision,
             action.wait_ms,
-            action.wait_ms + following.WATCH_MARGIN_MS,
+            action.wait_ms + list_watch.WATCH_MARGIN_MS,
         )
-        self._post(FeedNews(self.name, delta))
+        self._post(FeedUpdate(self.name, delta))
         count = len(delta.written) + len(delta.removed)
-        return following.Changed(delta.revision, count, delta.age_ms)
+        return list_watch.Changed(delta.revision, count, delta.age_ms)
 
     def _post(self, message):
         for listener in self.listeners:
--- a/src/liftmount/_internal/services/group.py
+++ b/src/liftmount/_internal/services/group.py
@@ -6,14 +6,14 @@
 from attrs import frozen
 
 from liftmount._internal.clock import seconds
-from liftmount._internal.decisions import confirming
-from liftmount._internal.decisions import following
-from liftmount._internal.decisions import joining
+from liftmount._internal.decisions import bootstrap
+from liftmount._internal.decisions import dissemination
+from liftmount._internal.decisions import freshness
+from liftmount._internal.decisions import list_watch
 from liftmount._internal.decisions import membership
-from liftmount._internal.decisions import spreading
-from liftmount._internal.decisions.doubts import StallSeen
-from liftmount._internal.decisions.following import FreshnessTimes
+from liftmount._internal.decisions.list_watch import FreshnessTimes
 from liftmount._internal.decisions.relay import relay_order
+from liftmount._internal.decisions.stall_reports import StallSeen
 from liftmount._internal.decisions.stalls import Stalled
 from liftmount._internal.exceptions import HttpError
 from liftmount._internal.exceptions import PacketError
@@ -24,25 +24,25 @@
 from liftmount._internal.models.feeds import Evacuated
 from liftmount._internal.models.feeds import EVACUATIONS
 from liftmount._internal.models.feeds import FeedFailed
-from liftmount._internal.models.feeds import FeedNews
+from liftmount._internal.models.feeds import FeedUpdate
 from liftmount._internal.models.feeds import ROUTES
 from liftmount._internal.models.feeds import TARGETS
 from liftmount._internal.models.feeds import TargetUnknown
 from liftmount._internal.models.identity import make_incarnation
 from liftmount._internal.models.identity import RANDOM_BITS
-from liftmount._internal.models.knowledge import decode_ask
-from liftmount._internal.models.knowledge import decode_beat
-from liftmount._internal.models.knowledge import decode_member
-from liftmount._internal.models.knowledge import decode_members
-from liftmount._internal.models.knowledge import encode_ask
-from liftmount._internal.models.knowledge import encode_beat
-from liftmount._internal.models.knowledge import encode_member
-from liftmount._internal.models.knowledge import encode_members
-from liftmount._internal.models.knowledge import is_ask
-from liftmount._internal.models.knowledge import is_beat
-from liftmount._internal.models.knowledge import is_doubt
 from liftmount._internal.models.members import Member
 from liftmount._internal.models.members import MemberStatus
+from liftmount._internal.models.peer_messages import decode_heartbeat
+from liftmount._internal.models.peer_messages import decode_heartbeat_request
+from liftmount._internal.models.peer_messages import decode_member
+from liftmount._internal.models.peer_messages import decode_members
+from liftmount._internal.models.peer_messages import encode_heartbeat
+from liftmount._internal.models.peer_messages import encode_heartbeat_request
+from liftmount._internal.models.peer_messages import encode_member
+from liftmount._internal.models.peer_messages import encode_members
+from liftmount._internal.models.peer_messages import is_heartbeat
+from liftmount._internal.models.peer_messages import is_heartbeat_request
+from liftmount._internal.models.peer_messages import is_stall_report
 from liftmount._internal.models.records import Tick
 from liftmount._internal.network.http import HttpServer
 from liftmount._internal.network.http_messages import HTTP_NOT_FOUND
@@ -59,7 +59,7 @@
 MEMBERS_PATH = '/members/'
 # Failed calls in a row before another member shall read the store.
 FAILURES_TO_YIELD = 2
-# Knowledge this old is also taken from other domains.
+# Snapshot this old is also taken from other domains.
 CUT_OFF_MS = 5_000
 FAREWELLS = 3
 VERSION_BYTES = 8
@@ -100,14 +100,14 @@
         self.counters = counters
         self.socket = None
         self.members = None
-        self.spread = spreading.SpreadState(
+        self.spread = dissemination.DisseminationState(
             options.name,
             self.clock.now_ms(),
             options.spread,
             options.times,
             process_ms=packets.path.started_ms,
         )
-        self.confirming = confirming.ConfirmingState()
+        self.confirming = freshness.FreshnessState()
         self._teller = KnowledgeTeller(self.beliefs, self.clock, counters)
         self._server = HttpServer(self._answer)
         self._failures = 0
@@ -157,7 +157,7 @@
     async def _join(self):
         """Learn of the others in a few turns."""
         waited_ms = 0
-        for turn, at_ms in enumerate(joining.ASK_AT_MS):
+        for turn, at_ms in enumerate(bootstrap.ATTEMPT_TIMES_MS):
             await asyncio.sleep(seconds(at_ms - waited_ms))
             waited_ms = at_ms
             own = self.members.own
@@ -166,14 +166,14 @@
                 for one in self.members.reachable()
                 if one.failure_domain == own.failure_domain
             ]
-            wanted = joining.answers_wanted(turn)
-            for peer in joining.whom_to_ask(
+            wanted = bootstrap.answers_needed(turn)
+            for peer in bootstrap.peers_to_ask(
                 own, turn, self.members.seeds, near
             ):
                 wanted -= await self._ask_members(peer)
                 if not wanted:
                     break
-        await asyncio.sleep(seconds(joining.JOINED_MS - waited_ms))
+        await asyncio.sleep(seconds(bootstrap.JOIN_COMPLETE_MS - waited_ms))
         self._reorder()
 
     async def _ask_members(self, peer):
@@ -212,15 +212,17 @@
             return
         for member in self.members.reachable():
             if member.peer == peer:
-                event = spreading.PeerKnows(member.name, self.clock.now_ms())
-                self._execute(spreading.decide(self.spread, event))
+                event = dissemination.PeerDiffers(
+                    member.name, self.clock.now_ms()
+                )
+                self._execute(dissemination.decide(self.spread, event))
 
     def tick(self):
         """Let time pass."""
         tick = Tick(self.clock.now_ms())
         self._execute(membership.decide(self.members, tick))
-        self._execute(spreading.decide(self.spread, tick))
-        self._execute(confirming.decide(self.confirming, tick))
+        self._execute(dissemination.decide(self.spread, tick))
+        self._execute(freshness.decide(self.confirming, tick))
         self._doubts.decide(tick)
 
     def _on_datagram(self, data, source):
@@ -230,16 +232,20 @@
             return
         now_ms = self.clock.now_ms()
         try:
-            if is_beat(data):
-                event = spreading.BeatArrived(decode_beat(data), now_ms)
-                self._execute(spreading.decide(self.spread, event))
+            if is_heartbeat(data):
+                event = dissemination.HeartbeatReceived(
+                    decode_heartbeat(data), now_ms
+                )
+                self._execute(dissemination.decide(self.spread, event))
                 return
-            if is_doubt(data):
+            if is_stall_report(data):
                 self._doubts.hear(data, now_ms)
                 return
-            if is_ask(data):
-                event = spreading.BeatAsked(decode_ask(data), now_ms)
-                self._execute(spreading.decide(self.spread, event))
+            if is_heartbeat_request(data):
+                event = dissemination.HeartbeatRequested(
+                    decode_heartbeat_request(data), now_ms
+                )
+                self._execute(dissemination.decide(self.spread, event))
                 return
             event = membership.MessageArrived(
                 decode_peer(data), Endpoint(*source[:2]), now_ms
@@ -267,7 +273,7 @@
         self.counters.count('members_given')
         self._learn_all([asker], asker.peer)
         known = [self.members.own, *self.members.reachable()]
-        told = joining.members_to_tell(known, asker)
+        told = bootstrap.members_to_send(known, asker)
         return HttpAnswer(HTTP_OK, encode_members(told), {})
 
     # Messages.
@@ -275,21 +281,23 @@
     def handle(self, message):
         """Take note of what our own feeds read."""
         match message:
-            case FeedNews(feed, news):
+            case FeedUpdate(feed, news):
                 self._failures = 0
                 self._announce(has_platform=True)
                 self._note_answer(feed, news)
-                event = confirming.Answered(feed, news, self.clock.now_ms())
-                self._execute(confirming.decide(self.confirming, event))
+                event = freshness.Answered(feed, news, self.clock.now_ms())
+                self._execute(freshness.decide(self.confirming, event))
             case TargetUnknown():
-                self._execute(spreading.decide(self.spread, message))
+                self._execute(dissemination.decide(self.spread, message))
             case Stalled():
                 event = StallSeen(
                     message.target, message.waited_ms, message.now_ms
                 )
                 self._doubts.decide(event)
             case FeedFailed(feed):
-                self._failures += confirming.failures_of(self.confirming, feed)
+                self._failures += freshness.count_affected_feeds(
+                    self.confirming, feed
+                )
                 if self._failures >= FAILURES_TO_YIELD:
                     self._announce(has_platform=False)
             case _:
@@ -299,8 +307,8 @@
         self.packets.path.hold_out(action.target, action.until_ms)
 
     def _note_answer(self, feed, news):
-        event = spreading.StoreAnswered(feed, news, self.clock.now_ms())
-        self._execute(spreading.decide(self.spread, event))
+        event = dissemination.StoreAnswered(feed, news, self.clock.now_ms())
+        self._execute(dissemination.decide(self.spread, event))
         self._note_version()
 
     def set_seeds(self, seeds):
@@ -333,7 +341,7 @@
         far = [one for one in others if one.failure_domain != domain]
         self.packets.post(
             DomainMembers(
-                near=1 + sum(one.eligible for one in near),
+                local=1 + sum(one.eligible for one in near),
                 is_isolated=bool(far)
                 and not any(one.reachable for one in far),
                 fleet=self._fleet_size(near),
@@ -341,7 +349,9 @@
         )
         is_reordered = order != self.spread.order
         names = tuple(one.name for one in far if one.eligible)
-        spreading.decide(self.spread, spreading.OrderChanged(order, names))
+        dissemination.decide(
+            self.spread, dissemination.RelayOrderChanged(order, names)
+        )
         live = [one.name for one in self.members.reachable()]
         self._doubts.set_peers(tuple(live))
         if is_reordered:
@@ -354,7 +364,10 @@
 
         All of the own domain are known, of others only some.
         """
-        is_joined = self.clock.now_ms() - self._started_ms >= joining.JOINED_MS
+        is_joined = (
+            self.clock.now_ms() - self._started_ms
+            >= bootstrap.JOIN_COMPLETE_MS
+        )
         is_alone = not self.members.members and self.members.seeds
         if not is_joined or is_alone:
             return 0
@@ -363,13 +376,13 @@
 
     def _note_knowledge(self):
         table = self.beliefs.state.table
-        event = spreading.KnowledgeChanged(
+        event = dissemination.RevisionsChanged(
             self.beliefs.directory.revision,
             self.beliefs.routes_revision,
             table.version if table else 0,
             self.beliefs.evacuations.known,
         )
-        spreading.decide(self.spread, event)
+        dissemination.decide(self.spread, event)
         self._note_version()
 
     def _note_version(self):
@@ -399,29 +412,31 @@
     def _spread(self, action):
         """Do what was decided on the spreading of news."""
         match action:
-            case spreading.SendBeat(beat, children):
-                self._send_to(encode_beat(beat), children)
-            case spreading.AskForBeat(peers):
+            case dissemination.SendHeartbeat(beat, children):
+                self._send_to(encode_heartbeat(beat), children)
+            case dissemination.RequestHeartbeat(peers):
                 self.counters.count('retried.beat_asked')
-                self._send_to(encode_ask(self.options.name), peers)
+                self._send_to(
+                    encode_heartbeat_request(self.options.name), peers
+                )
             case Evacuated():
                 self.packets.post(action)
-            case spreading.TakeOver(delta):
-                self.packets.post(FeedNews(TARGETS, delta))
-            case spreading.Pull():
+            case dissemination.ApplyDelta(delta):
+                self.packets.post(FeedUpdate(TARGETS, delta))
+            case dissemination.Pull():
                 self._pull(action)
-            case spreading.ReadNow():
-                self.kernel.post(TARGETS, following.Hurried())
-            case spreading.SetReading():
+            case dissemination.PollStore():
+                self.kernel.post(TARGETS, list_watch.RefreshRequested())
+            case dissemination.SetStoreReader():
                 self._set_reading(action)
-            case confirming.Confirm(feed, delta):
+            case freshness.Confirm(feed, delta):
                 # As if the store had answered that nothing has changed.
-                self.packets.post(FeedNews(feed, delta))
+                self.packets.post(FeedUpdate(feed, delta))
                 self._note_answer(feed, delta)
-                self.kernel.post(feed, following.Confirmed(delta.revision))
-            case confirming.Ask(feed):
+                self.kernel.post(feed, list_watch.Confirmed(delta.revision))
+            case freshness.Ask(feed):
                 self.counters.count('retried.not_confirmed')
-                self.kernel.post(feed, following.Hurried())
+                self.kernel.post(feed, list_watch.RefreshRequested())
 
     def _send(self, datagram, destination):
         self.counters.count('control_bytes', len(datagram))
@@ -446,10 +461,10 @@
     def _set_reading(self, action):
         self.log.write(
             self.name,
-            'reading' if action.is_reading else 'not_reading',
+            'reading' if action.is_reader else 'not_reading',
             reason=action.reason,
             root=self.spread.order[0] if self.spread.order else '',
-            known_ms=self.clock.now_ms() - self.spread.known_as_of_ms(),
+            known_ms=self.clock.now_ms() - self.spread.last_confirmed_ms(),
         )
         # What the packet path holds, not what is on its way there: a watch
         # from too late a revision would never tell what lies between.
@@ -458,38 +473,38 @@
             ROUTES: self.beliefs.routes_revision,
             EVACUATIONS: self.beliefs.evacuations.revision,
         }
-        confirming.decide(self.confirming, confirming.ReadingBegun())
+        freshness.decide(self.confirming, freshness.ReadingStarted())
         for feed in self.feeds:
-            if action.is_reading:
+            if action.is_reader:
                 revision = revisions[feed.name] or None
-                resumed = following.Resumed(
+                resumed = list_watch.Resumed(
                     revision,
-                    action.is_helping,
-                    is_relying=feed.name in confirming.RELYING,
+                    action.is_fallback,
+                    is_dependent=feed.name in freshness.DEPENDENT_FEEDS,
                 )
                 self.kernel.post(feed.name, resumed)
             else:
-                self.kernel.post(feed.name, following.Paused())
+                self.kernel.post(feed.name, list_watch.Paused())
 
     def _ask_other_domain(self, member):
         now_ms = self.clock.now_ms()
-        age_ms = now_ms - self.spread.known_as_of_ms()
+        age_ms = now_ms - self.spread.last_confirmed_ms()
         is_young = not self.beliefs.state.is_complete
         if is_young or age_ms > CUT_OFF_MS:
-            event = spreading.PeerKnows(member.name, now_ms)
-            self._execute(spreading.decide(self.spread, event))
+            event = dissemination.PeerDiffers(member.name, now_ms)
+            self._execute(dissemination.decide(self.spread, event))
 
     def _pull(self, action):
         member = self.members.members.get(action.peer)
         if member is None:
-            event = spreading.PullEnded(action.peer)
-            self._execute(spreading.decide(self.spread, event))
+            event = dissemination.PullEnded(action.peer)
+            self._execute(dissemination.decide(self.spread, event))
             return
         self._puller.start(member, action.scope)
 
     def _pull_ended(self, member, knowledge):
-        event = spreading.PullEnded(member.name)
-        self._execute(spreading.decide(self.spread, event))
+        event = dissemination.PullEnded(member.name)
+        self._execute(dissemination.decide(self.spread, event))
         if knowledge is not None:
             self._take(member, knowledge)
 
@@ -502,16 +517,16 @@
             version=knowledge.table.version if knowledge.table else None,
         )
         self.packets.post(knowledge)
-        if knowledge.targets or knowledge.doubted:
-            known = following.Known(knowledge.targets_revision)
+        if knowledge.targets or knowledge.missing:
+            known = list_watch.ListKnown(knowledge.targets_revision)
             self.kernel.post(TARGETS, known)
         if knowledge.table is not None:
-            known = following.Known(knowledge.routes_revision)
+            known = list_watch.ListKnown(knowledge.routes_revision)
             self.kernel.post(ROUTES, known)
         if knowledge.evacuated is not None:
-            known = following.Known(knowledge.evacuated.revision)
+            known = list_watch.ListKnown(knowledge.evacuated.revision)
             self.kernel.post(EVACUATIONS, known)
-        event = spreading.KnowledgeChanged(
+        event = dissemination.RevisionsChanged(
             max(self.spread.targets_revision, knowledge.targets_revision),
             max(self.spread.routes_revision, knowledge.routes_revision),
             max(
@@ -520,4 +535,4 @@
             ),
             knowledge.evacuated,
         )
-        spreading.decide(self.spread, event)
+        dissemination.decide(self.spread, event)
--- a/src/liftmount/_internal/services/knowledge.py
+++ b/src/liftmount/_internal/services/knowledge.py
@@ -4,7 +4,7 @@
 from attrs import Factory
 
 from liftmount._internal.clock import Clock
-from liftmount._internal.models.knowledge import encode_knowledge
+from liftmount._internal.models.peer_messages import encode_snapshot
 from liftmount._internal.network.http_messages import HTTP_NOT_FOUND
 from liftmount._internal.network.http_messages import HTTP_OK
 from liftmount._internal.network.http_messages import HttpAnswer
@@ -53,7 +53,7 @@
         told = self._told.get(asked)
         if told is None or not self._still_holds(told, now_ms):
             known = self.beliefs.knowledge(now_ms, int(revision), int(version))
-            answer = HttpAnswer(HTTP_OK, encode_knowledge(known), {})
+            answer = HttpAnswer(HTTP_OK, encode_snapshot(known), {})
             told = _Told(self._known(), now_ms, answer)
             # Only what was asked last: answers are large.
             self._told = {asked: told}
@@ -69,6 +69,6 @@
             self.beliefs.directory.revision,
             self.beliefs.routes_revision,
             table.version if table else 0,
-            len(self.beliefs.directory.doubted),
+            len(self.beliefs.directory.missing),
             self.beliefs.evacuations.revision,
         )
--- a/src/liftmount/_internal/services/metrics_page.py
+++ b/src/liftmount/_internal/services/metrics_page.py
@@ -65,14 +65,14 @@
         gauges['targets_suspected'] = len(state.health.suspected)
         gauges['link_busy'] = int(state.health.is_link_busy)
         gauges['link_times_busy'] = self._path.link.times_busy
-        gauges['targets_doubted'] = len(beliefs.directory.doubted)
+        gauges['targets_doubted'] = len(beliefs.directory.missing)
         gauges['configuration_version'] = (
             state.table.version if state.table else 0
         )
         gauges['targets_revision'] = beliefs.directory.revision
         gauges['domains_evacuated'] = len(state.evacuated or ())
-        gauges['knowledge_age_ms'] = now_ms - spread.known_as_of_ms()
-        gauges['reads_store'] = int(spread.is_reading)
+        gauges['knowledge_age_ms'] = now_ms - spread.last_confirmed_ms()
+        gauges['reads_store'] = int(spread.is_reader)
         left_out = self._find_left_out()
         gauges['objects_left_out'] = len(left_out.objects) if left_out else 0
         gauges['log_lines_lost'] = self._log.lost_in_all
--- a/src/liftmount/_internal/services/packet_path.py
+++ b/src/liftmount/_internal/services/packet_path.py
@@ -64,7 +64,7 @@
 
     ``codec`` has ``read(datagram)``, ``encode_forward(action)`` and
     ``encode_reset(action)``; ``options`` are EntrySettings.  ``wanted`` has a
-    SendProbe for each target to probe.  ``leaving`` is a LeavingState
+    SendProbe for each target to probe.  ``leaving`` is a ShutdownState
     once a planned stop has begun.
     """
 
@@ -101,7 +101,7 @@
     def why_not_ready(self) -> str:
         """Return why no packets should come here; empty when they may."""
         if self.leaving is not None:
-            self.leaving.refused()
+            self.leaving.record_refusal()
             return 'stopping'
         if self.overflow.is_out:
             return 'clients are handed to other domains'
@@ -121,9 +121,9 @@
     def leave(self, until_ms: int) -> None:
         """Begin a planned stop that ends at ``until_ms`` at the latest."""
         # A start does without.
-        from liftmount._internal.decisions.leaving import LeavingState
+        from liftmount._internal.decisions.shutdown import ShutdownState
 
-        self.leaving = LeavingState(self.clock.now_ms(), until_ms)
+        self.leaving = ShutdownState(self.clock.now_ms(), until_ms)
 
     def read(self) -> None:
         """Decide on the packets that wait, up to a batch of them."""
@@ -144,7 +144,7 @@
                 self._counters.count('refused.malformed_packet')
                 continue
             if self.leaving is not None:
-                self.leaving.packet(now_ms)
+                self.leaving.record_packet(now_ms)
             event = flows.SegmentArrived(segment, now_ms)
             self.execute(forwarding.decide(self.state, event))
 
@@ -176,7 +176,7 @@
             return
         self._next_overflow_ms = now_ms + OVERFLOW_MS
         event = overflow.DomainSeen(
-            domain_loads(self.state, self.members.near, now_ms),
+            domain_loads(self.state, self.members.local, now_ms),
             self.members.is_isolated,
             self.state.far_seen_ms,
             now_ms,
--- a/src/liftmount/_internal/services/packets.py
+++ b/src/liftmount/_internal/services/packets.py
@@ -6,8 +6,8 @@
 from liftmount._internal.models.feeds import DomainMembers
 from liftmount._internal.models.feeds import Evacuated
 from liftmount._internal.models.feeds import FeedFailed
-from liftmount._internal.models.feeds import FeedNews
-from liftmount._internal.models.feeds import Knowledge
+from liftmount._internal.models.feeds import FeedUpdate
+from liftmount._internal.models.feeds import Snapshot
 from liftmount._internal.models.feeds import TargetUnknown
 from liftmount._internal.services.packet_path import PacketPath
 from liftmount._internal.services.packet_path import TICK_MS
@@ -52,10 +52,10 @@
         now_ms = self.clock.now_ms()
         beliefs = self.path.beliefs
         match posted:
-            case FeedNews():
-                self.path.note_transfer(lasted_ms=posted.news.age_ms)
+            case FeedUpdate():
+                self.path.note_transfer(lasted_ms=posted.update.age_ms)
                 self.path.execute(beliefs.take_news(posted, now_ms))
-            case Knowledge():
+            case Snapshot():
                 self.path.execute(beliefs.take_knowledge(posted, now_ms))
             case DomainMembers():
                 self.path.set_members(posted)
--- a/src/liftmount/_internal/services/pulls.py
+++ b/src/liftmount/_internal/services/pulls.py
@@ -2,12 +2,12 @@
 
 import asyncio
 
-from liftmount._internal.decisions.spreading import Scope
+from liftmount._internal.decisions.dissemination import Scope
 from liftmount._internal.exceptions import HttpError
 from liftmount._internal.exceptions import PacketError
 from liftmount._internal.models.addresses import Endpoint
-from liftmount._internal.models.knowledge import decode_knowledge
 from liftmount._internal.models.members import Member
+from liftmount._internal.models.peer_messages import decode_snapshot
 from liftmount._internal.network.http import HttpConnection
 from liftmount._internal.services.knowledge import KNOWLEDGE_PATH
 from liftmount._internal.services.knowledge import LATEST_REVISION
@@ -62,7 +62,7 @@
         try:
             data = await get_from_peer(member.control, path)
             self._path.note_transfer(len(data))
-            return decode_knowledge(data)
+            return decode_snapshot(data)
         except (HttpError, PacketError) as error:
             self._counters.count('retried.pull_failed')
             self._log.write(
--- a/src/liftmount/_internal/store/reader.py
+++ b/src/liftmount/_internal/store/reader.py
@@ -17,7 +17,7 @@
 
 LOG = logging.getLogger('liftmount.platform')
 # A watch that only asks for what is known by now.
-AT_ONCE_MS = 1
+IMMEDIATE_WAIT_MS = 1
 FROM_STORE = 'the platform'
 FROM_LIST = 'the instance list'
 
@@ -104,7 +104,7 @@
             return
         try:
             delta = await self._store.watch(
-                kind, self._instance_revision, AT_ONCE_MS
+                kind, self._instance_revision, IMMEDIATE_WAIT_MS
             )
         except HistoryGoneError:
             self._instance_revision = None
--- a/tests/features/steps/adapter_steps.py
+++ b/tests/features/steps/adapter_steps.py
@@ -17,11 +17,11 @@
 from liftmount._internal.exceptions import PacketError
 from liftmount._internal.exceptions import StoredObjectError
 from liftmount._internal.models import flow_messages as flows
-from liftmount._internal.models import knowledge as wire
+from liftmount._internal.models import peer_messages as wire
 from liftmount._internal.models.addresses import Endpoint
 from liftmount._internal.models.feeds import Delta
-from liftmount._internal.models.feeds import Knowledge
 from liftmount._internal.models.feeds import Listing
+from liftmount._internal.models.feeds import Snapshot
 from liftmount._internal.models.segments import RouteKind
 from liftmount._internal.models.segments import WarmUp
 from liftmount.platform import documents
@@ -310,8 +310,8 @@
 
 @then('a member that pulls it holds the same')
 def pulled_alike(context):
-    known = Knowledge((), 0, context.result, 3)
-    told = wire.decode_knowledge(wire.encode_knowledge(known))
+    known = Snapshot((), 0, context.result, 3)
+    told = wire.decode_snapshot(wire.encode_snapshot(known))
     assert told.table == context.result, told.table
 
 
--- a/tests/features/steps/beliefs_steps.py
+++ b/tests/features/steps/beliefs_steps.py
@@ -5,10 +5,10 @@
 from behave import when
 
 from liftmount._internal.decisions import directory
-from liftmount._internal.decisions import following
-from liftmount._internal.decisions import spreading
+from liftmount._internal.decisions import dissemination
+from liftmount._internal.decisions import list_watch
 from liftmount._internal.decisions import target_health
-from liftmount._internal.decisions.leaving import LeavingState
+from liftmount._internal.decisions.shutdown import ShutdownState
 from liftmount._internal.decisions.target_health import ProbeResult
 from liftmount._internal.models.records import changed
 from liftmount._internal.models.records import Tick
@@ -98,9 +98,9 @@
 
 
 BELIEFS = {
-    directory.EntryBelieved: 'believed',
-    directory.EntryDoubted: 'doubted',
-    directory.EntryGone: 'gone',
+    directory.EntryUpdated: 'believed',
+    directory.EntryMissing: 'doubted',
+    directory.EntryRemoved: 'gone',
 }
 
 
@@ -154,7 +154,7 @@
         context.peer.listed(),
         context.peer.revision,
         now_ms,
-        context.peer.doubts(now_ms),
+        context.peer.missing_entries(now_ms),
     )
     for event in (handed, Tick(now_ms + interval)):
         for action in directory.decide(context.directory, event):
@@ -166,33 +166,33 @@
     assert context.belief == belief, context.belief
 
 
-CALLS = (following.Finish, following.List, following.Watch)
+CALLS = (list_watch.Finish, list_watch.List, list_watch.Watch)
 CALL_EVENTS = {
-    'start': following.Started,
-    'begun': following.Begun,
-    'known': following.Known,
-    'finished': following.Finished,
-    'listed': following.Listed,
-    'changed': following.Changed,
-    'gone': following.HistoryGone,
-    'hurried': following.Hurried,
-    'paused': following.Paused,
-    'helping': lambda: following.Resumed(None, is_helping=True),
-    'resumed': lambda: following.Resumed(None),
-    'relying': lambda: following.Resumed(None, is_relying=True),
-    'confirmed': following.Confirmed,
-    'failed': lambda: following.CallFailed('no answer'),
+    'start': list_watch.Started,
+    'begun': list_watch.ListInProgress,
+    'known': list_watch.ListKnown,
+    'finished': list_watch.Finished,
+    'listed': list_watch.Listed,
+    'changed': list_watch.Changed,
+    'gone': list_watch.HistoryGone,
+    'hurried': list_watch.RefreshRequested,
+    'paused': list_watch.Paused,
+    'helping': lambda: list_watch.Resumed(None, is_fallback=True),
+    'resumed': lambda: list_watch.Resumed(None),
+    'relying': lambda: list_watch.Resumed(None, is_dependent=True),
+    'confirmed': list_watch.Confirmed,
+    'failed': lambda: list_watch.CallFailed('no answer'),
 }
 
 
 @when('calls end in this order: {events}')
 def calls_end(context, events):
-    follow_events(context, following.FollowState(jitter=MIDDLE), events)
+    follow_events(context, list_watch.ListWatchState(jitter=MIDDLE), events)
 
 
 @when('calls for one object that tells all end in this order: {events}')
 def calls_for_one_end(context, events):
-    state = following.FollowState(jitter=MIDDLE, is_one_object=True)
+    state = list_watch.ListWatchState(jitter=MIDDLE, is_one_object=True)
     follow_events(context, state, events)
 
 
@@ -202,7 +202,7 @@
     for words in read_events(events):
         word, *numbers = [one for one in words if one != 'by']
         event = CALL_EVENTS[word](*map(int, numbers))
-        actions = following.decide(state, event)
+        actions = list_watch.decide(state, event)
         context.reports += actions
         is_call = actions and isinstance(actions[-1], CALLS)
         context.call = actions[-1] if is_call else None
@@ -211,71 +211,71 @@
 @then('the next call is {call}')
 def next_call(context, call):
     found = context.call
-    if found is None or isinstance(found, following.Finish):
+    if found is None or isinstance(found, list_watch.Finish):
         assert call == ('the rest of the list' if found else 'none'), found
         return
     pause_ms = round(found.after_ms)
     when_text = f'after {pause_ms} ms' if pause_ms else 'at once'
     match found:
-        case following.Watch(wait_ms=following.AT_ONCE_MS):
+        case list_watch.Watch(wait_ms=list_watch.IMMEDIATE_WAIT_MS):
             what = f'brief watch from {found.revision}'
-        case following.Watch(wait_ms=following.RELYING_WATCH_MS):
+        case list_watch.Watch(wait_ms=list_watch.DEPENDENT_WATCH_MS):
             what = f'long watch from {found.revision}'
-        case following.Watch():
+        case list_watch.Watch():
             what = f'watch from {found.revision}'
-        case following.List(may_lag=True):
+        case list_watch.List(may_lag=True):
             what = 'list that may lag'
-        case following.List():
+        case list_watch.List():
             what = 'exact list'
     assert f'{what} {when_text}' == call, f'{what} {when_text}'
 
 
 @given('changes have to be in force within {bound:d} ms')
 def changes_within(context, bound):
-    context.times = following.freshness_times(bound)
+    context.times = list_watch.freshness_times(bound)
 
 
 @when('a watch ends with {count:d} changes after a transfer of {lasted:d} ms')
 def watch_ends(context, count, lasted):
-    state = following.FollowState(times=context.times)
-    following.decide(state, following.Listed(10))
-    event = following.Changed(12, count, lasted)
-    (context.call,) = following.decide(state, event)
+    state = list_watch.ListWatchState(times=context.times)
+    list_watch.decide(state, list_watch.Listed(10))
+    event = list_watch.Changed(12, count, lasted)
+    (context.call,) = list_watch.decide(state, event)
     context.lasted_ms = lasted
 
 
 @then('the next watch begins after {pause:d} ms and waits {wait:d} ms')
 def next_watch(context, pause, wait):
-    assert context.call == following.Watch(pause, 12, wait), context.call
+    assert context.call == list_watch.Watch(pause, 12, wait), context.call
 
 
 @then('members are told in time, whenever the next watch ends')
 def told_in_time(context):
     call = context.call
     proof_ms = context.lasted_ms + call.after_ms + call.wait_ms
-    levels_ms = 2 * spreading.BEAT_MS
+    levels_ms = 2 * dissemination.HEARTBEAT_INTERVAL_MS
     assert proof_ms + levels_ms < context.times.stale_ms, proof_ms
 
 
 @then('the store was lost {lost:d} times and regained {regained:d} times')
 def lost_and_regained(context, lost, regained):
     kinds = [type(one) for one in context.reports]
-    assert kinds.count(following.DependencyLost) == lost, kinds
-    assert kinds.count(following.DependencyRegained) == regained, kinds
+    assert kinds.count(list_watch.DependencyLost) == lost, kinds
+    assert kinds.count(list_watch.DependencyRegained) == regained, kinds
 
 
 @when('a stopping balancer sees: {events}')
 def stopping_sees(context, events):
     now_ms = START_MS
-    leaving = LeavingState(now_ms, now_ms + STOP_MS)
+    leaving = ShutdownState(now_ms, now_ms + STOP_MS)
     for words in read_events(events):
         match words:
             case ['wait', interval]:
                 now_ms += int(interval)
             case ['refusal']:
-                leaving.refused()
+                leaving.record_refusal()
             case ['packet']:
-                leaving.packet(now_ms)
+                leaving.record_packet(now_ms)
     context.may_end = leaving.may_end(now_ms)
 
 
--- a/tests/features/steps/confirming_steps.py
+++ b/tests/features/steps/confirming_steps.py
@@ -6,7 +6,7 @@
 from behave import then
 from behave import when
 
-from liftmount._internal.decisions import confirming
+from liftmount._internal.decisions import freshness
 from liftmount._internal.models.feeds import Delta
 from liftmount._internal.models.feeds import Listing
 from liftmount._internal.models.feeds import TARGETS
@@ -14,7 +14,7 @@
 
 START_MS = 10_000
 TICK_MS = 50
-FEEDS = (*confirming.RELYING, TARGETS)
+FEEDS = (*freshness.DEPENDENT_FEEDS, TARGETS)
 SEED = 11
 
 
@@ -26,31 +26,31 @@
     news = Delta((), (), int(revision), changes=revisions)
     if lagging:
         news = Listing((), int(revision), may_lag=True)
-    return confirming.Answered(feed, news, now_ms)
+    return freshness.Answered(feed, news, now_ms)
 
 
 @given('a member that has begun to read')
 def begun_to_read(context):
-    context.state = confirming.ConfirmingState()
-    confirming.decide(context.state, confirming.ReadingBegun())
+    context.state = freshness.FreshnessState()
+    freshness.decide(context.state, freshness.ReadingStarted())
 
 
 @when('the store answers: {answers}')
 def store_answers(context, answers):
     if 'state' not in context:
-        context.state = confirming.ConfirmingState()
+        context.state = freshness.FreshnessState()
     context.now_ms = START_MS
     context.actions = []
     for text in answers.split(', '):
         event = read_answer(text, context.now_ms)
-        context.actions += confirming.decide(context.state, event)
+        context.actions += freshness.decide(context.state, event)
 
 
 @when('{interval:d} ms go by in ticks')
 def ticks_go_by(context, interval):
     for _ in range(interval // TICK_MS):
         context.now_ms += TICK_MS
-        found = confirming.decide(context.state, Tick(context.now_ms))
+        found = freshness.decide(context.state, Tick(context.now_ms))
         context.actions += found
 
 
@@ -58,16 +58,16 @@
       '{evacuations:d}')  # fmt: skip
 def known_as_of(context, routes, evacuations):
     known = context.state.known
-    found = tuple(known.get(feed, 0) for feed in confirming.RELYING)
+    found = tuple(known.get(feed, 0) for feed in freshness.DEPENDENT_FEEDS)
     assert found == (routes, evacuations), found
     # Whoever is not told a feed's change itself is told by a Confirm.
-    told = [one for one in context.actions if type(one) is confirming.Confirm]
+    told = [one for one in context.actions if type(one) is freshness.Confirm]
     assert all(one.delta.revision <= known[one.feed] for one in told), told
 
 
 @when('a call for {feed} fails')
 def call_fails(context, feed):
-    context.failures = confirming.failures_of(context.state, feed)
+    context.failures = freshness.count_affected_feeds(context.state, feed)
 
 
 @then('that counts as {count:d} failed calls')
@@ -78,7 +78,7 @@
 @then('the feeds {feeds} are asked')
 def feeds_asked(context, feeds):
     found = sorted(
-        one.feed for one in context.actions if isinstance(one, confirming.Ask)
+        one.feed for one in context.actions if isinstance(one, freshness.Ask)
     )
     wanted = [] if feeds == 'none' else feeds.split(', ')
     assert found == wanted, found
@@ -91,7 +91,7 @@
         self.rng = rng
         self.answers = answers
         self.changes = []
-        self.state = confirming.ConfirmingState()
+        self.state = freshness.FreshnessState()
         self.under_way = []
         self.read = dict.fromkeys(FEEDS, 0)
         self.told = dict.fromkeys(FEEDS, 0)
@@ -101,7 +101,7 @@
 
     def run(self, steps):
         """Let the store change and answer."""
-        confirming.decide(self.state, confirming.ReadingBegun())
+        freshness.decide(self.state, freshness.ReadingStarted())
         for _ in range(steps):
             self.now_ms += self.rng.randrange(1, TICK_MS)
             if self.rng.random() < 0.3:
@@ -131,18 +131,18 @@
             )
         self.read[feed] = revision
         news = Delta((), (), revision, since, changes=revisions)
-        self.under_way.append(confirming.Answered(feed, news, self.now_ms))
+        self.under_way.append(freshness.Answered(feed, news, self.now_ms))
 
     def deliver(self, event):
         """Take over an answer; note what it confirmed."""
-        self.told[event.feed] = event.news.revision
-        found = confirming.decide(self.state, event)
+        self.told[event.feed] = event.update.revision
+        found = freshness.decide(self.state, event)
         for one in found:
-            if isinstance(one, confirming.Confirm):
+            if isinstance(one, freshness.Confirm):
                 self.check(one)
         if event.feed == TARGETS:
             kinds = [type(one) for one in found]
-            self.proofs.append(kinds.count(confirming.Confirm) == 2)
+            self.proofs.append(kinds.count(freshness.Confirm) == 2)
 
     def check(self, confirmed):
         """See that nothing of a feed changed that was not told."""
--- a/tests/features/steps/joining_steps.py
+++ b/tests/features/steps/joining_steps.py
@@ -10,15 +10,15 @@
 from behave import when
 
 from liftmount._internal.clock import ManualClock
-from liftmount._internal.decisions import joining
+from liftmount._internal.decisions import bootstrap
 from liftmount._internal.decisions import membership
 from liftmount._internal.decisions.flow_table import ForwardingState
-from liftmount._internal.decisions.following import freshness_times
+from liftmount._internal.decisions.list_watch import freshness_times
 from liftmount._internal.kernel import Kernel
-from liftmount._internal.models import knowledge as wire
+from liftmount._internal.models import peer_messages as wire
 from liftmount._internal.models.addresses import Endpoint
 from liftmount._internal.models.feeds import Delta
-from liftmount._internal.models.feeds import FeedNews
+from liftmount._internal.models.feeds import FeedUpdate
 from liftmount._internal.models.feeds import Listing
 from liftmount._internal.models.feeds import ROUTES
 from liftmount._internal.models.feeds import TARGETS
@@ -62,7 +62,7 @@
         self.states[record.peer] = state
         return [
             (at_ms + ask_ms, turn, record.peer)
-            for turn, ask_ms in enumerate(joining.ASK_AT_MS)
+            for turn, ask_ms in enumerate(bootstrap.ATTEMPT_TIMES_MS)
         ]
 
     def play(self, asks):
@@ -74,8 +74,8 @@
         """Let one balancer ask in one turn."""
         state = self.states[peer]
         near = self.near(state)
-        whom = joining.whom_to_ask(state.own, turn, state.seeds, near)
-        wanted = joining.answers_wanted(turn)
+        whom = bootstrap.peers_to_ask(state.own, turn, state.seeds, near)
+        wanted = bootstrap.answers_needed(turn)
         for other in whom:
             if wanted and other in self.states and other not in self.down:
                 self.answer(self.states[other], state, now_ms)
@@ -94,7 +94,7 @@
         asked_of = wire.decode_member(wire.encode_member(asker.own))
         membership.learn_all(asked, [asked_of], now_ms)
         known = [asked.own, *asked.reachable()]
-        data = wire.encode_members(joining.members_to_tell(known, asked_of))
+        data = wire.encode_members(bootstrap.members_to_send(known, asked_of))
         told = self.told_bytes.get(asked.own.peer, 0)
         self.told_bytes[asked.own.peer] = told + len(data)
         membership.learn_all(asker, wire.decode_members(data), now_ms)
@@ -188,8 +188,10 @@
 
 @then('in turn {turn:d} it asks {whom}')
 def asks_in_turn(context, turn, whom):
-    found = joining.whom_to_ask(context.own, turn, context.seeds, context.near)
-    first = joining.whom_to_ask(context.own, 0, context.seeds, context.near)
+    found = bootstrap.peers_to_ask(
+        context.own, turn, context.seeds, context.near
+    )
+    first = bootstrap.peers_to_ask(context.own, 0, context.seeds, context.near)
     members = {one.peer for one in context.near}
     match whom:
         case 'seeds':
@@ -216,22 +218,24 @@
     entries = (make_entry('one', 'guide'), make_entry('two', 'guide'))
     table = RouteTable(version, {}, {}, 15_000)
     context.beliefs.take_news(
-        FeedNews(TARGETS, Listing(entries, revision)), START_MS
+        FeedUpdate(TARGETS, Listing(entries, revision)), START_MS
+    )
+    context.beliefs.take_news(
+        FeedUpdate(ROUTES, Listing((table,), 3)), START_MS
     )
-    context.beliefs.take_news(FeedNews(ROUTES, Listing((table,), 3)), START_MS)
 
 
 @when('all its targets vanish from the store')
 def targets_vanish(context):
     listing = Listing((), context.beliefs.directory.revision + 1)
-    context.beliefs.take_news(FeedNews(TARGETS, listing), START_MS)
+    context.beliefs.take_news(FeedUpdate(TARGETS, listing), START_MS)
 
 
 @when('a newcomer takes over what it is told')
 def newcomer_takes_over(context):
     context.newcomer = make_beliefs()
-    data = wire.encode_knowledge(context.beliefs.knowledge(START_MS))
-    context.newcomer.take_knowledge(wire.decode_knowledge(data), START_MS)
+    data = wire.encode_snapshot(context.beliefs.knowledge(START_MS))
+    context.newcomer.take_knowledge(wire.decode_snapshot(data), START_MS)
 
 
 @then('the newcomer knows {count:d} targets')
@@ -244,7 +248,7 @@
 @when('somebody asks who knows revision {revision:d} and version {version:d}')
 def somebody_asks(context, revision, version):
     known = context.beliefs.knowledge(START_MS, revision, version)
-    context.told = wire.decode_knowledge(wire.encode_knowledge(known))
+    context.told = wire.decode_snapshot(wire.encode_snapshot(known))
 
 
 @then('it is told {count:d} targets and {routes}')
@@ -265,7 +269,7 @@
             teller.answer(other)
         case [*_, 'written']:
             delta = Delta((make_entry('third', 'guide'),), (), 13, 12)
-            context.beliefs.take_news(FeedNews(TARGETS, delta), START_MS)
+            context.beliefs.take_news(FeedUpdate(TARGETS, delta), START_MS)
     answers += [teller.answer(asked) for _ in range(4)]
     context.answers = answers
 
@@ -274,7 +278,7 @@
       'targets')  # fmt: skip
 def answers_made(context, made, count):
     assert len({id(one) for one in context.answers}) == made
-    told = wire.decode_knowledge(context.answers[-1].body)
+    told = wire.decode_snapshot(context.answers[-1].body)
     assert len(told.targets) == count, told
 
 
@@ -298,8 +302,11 @@
         StructuredLog(ManualClock(START_MS)),
         context.metrics,
     )
-    beat = wire.Beat('other', 0, 10, 10, 5, 3, (), ())
-    for datagram in (wire.encode_beat(beat), wire.encode_ask('other')):
+    beat = wire.Heartbeat('other', 0, 10, 10, 5, 3, (), ())
+    for datagram in (
+        wire.encode_heartbeat(beat),
+        wire.encode_heartbeat_request('other'),
+    ):
         group._on_datagram(datagram, ('127.0.0.1', 2))
 
 
--- a/tests/features/steps/pieces_steps.py
+++ b/tests/features/steps/pieces_steps.py
@@ -11,9 +11,9 @@
 
 from liftmount._internal.clock import Clock
 from liftmount._internal.exceptions import PlatformError
-from liftmount._internal.models import knowledge as wire
+from liftmount._internal.models import peer_messages as wire
 from liftmount._internal.models.addresses import parse_endpoint
-from liftmount._internal.models.feeds import Knowledge
+from liftmount._internal.models.feeds import Snapshot
 from liftmount._internal.models.segments import Route
 from liftmount._internal.models.segments import RouteKind
 from liftmount._internal.models.segments import RouteTable
@@ -171,11 +171,11 @@
         'one', address, RouteKind.UPLOAD, (ServiceShare('guide', 1),), 0, 0
     )
     table = RouteTable(7, {address: route}, {}, 15_000)
-    data = wire.encode_knowledge(Knowledge((), 0, table, 3))
+    data = wire.encode_snapshot(Snapshot((), 0, table, 3))
     document = cbor2.loads(wire.zlib.decompress(data))
     document[2][1][0][2] = kind
     told = wire.zlib.compress(cbor2.dumps(document))
-    context.told = wire.decode_knowledge(told).table
+    context.told = wire.decode_snapshot(told).table
 
 
 @then('it is served as {kind}')
--- a/tests/features/steps/proof_steps.py
+++ b/tests/features/steps/proof_steps.py
@@ -10,11 +10,11 @@
 
 from liftmount._internal.clock import Clock
 from liftmount._internal.clock import ManualClock
-from liftmount._internal.decisions import following
+from liftmount._internal.decisions import list_watch
 from liftmount._internal.decisions import target_health
 from liftmount._internal.models.addresses import Endpoint
 from liftmount._internal.models.feeds import Delta
-from liftmount._internal.models.feeds import FeedNews
+from liftmount._internal.models.feeds import FeedUpdate
 from liftmount._internal.models.feeds import Listing
 from liftmount._internal.models.feeds import TARGETS
 from liftmount._internal.models.records import changed
@@ -51,7 +51,7 @@
 def tell(context, news):
     """Let the store tell of targets."""
     path = context.path
-    posted = FeedNews(TARGETS, news)
+    posted = FeedUpdate(TARGETS, news)
     path.execute(path.beliefs.take_news(posted, path.clock.now_ms()))
 
 
@@ -94,14 +94,14 @@
 
 @when('a process is {age:d} ms old as its first list is there')
 def process_is_old(context, age):
-    state = following.FollowState(settle_ms=following.settle_ms(age))
-    following.decide(state, following.Begun())
-    (context.call,) = following.decide(state, following.Finished(10))
+    state = list_watch.ListWatchState(recheck_ms=list_watch.recheck_ms(age))
+    list_watch.decide(state, list_watch.ListInProgress())
+    (context.call,) = list_watch.decide(state, list_watch.Finished(10))
 
 
 @then('it proves the list {wait:d} ms later')
 def proves_later(context, wait):
-    wanted = following.Watch(wait, 10, following.AT_ONCE_MS)
+    wanted = list_watch.Watch(wait, 10, list_watch.IMMEDIATE_WAIT_MS)
     assert context.call == wanted, context.call
 
 
--- a/tests/features/steps/spreading_steps.py
+++ b/tests/features/steps/spreading_steps.py
@@ -7,19 +7,19 @@
 from behave import when
 import cbor2
 
+from liftmount._internal.decisions import dissemination
 from liftmount._internal.decisions import membership
-from liftmount._internal.decisions import spreading
 from liftmount._internal.decisions.relay import FANOUT
 from liftmount._internal.decisions.relay import relay_order
 from liftmount._internal.exceptions import PacketError
-from liftmount._internal.models import knowledge as wire
+from liftmount._internal.models import peer_messages as wire
 from liftmount._internal.models.addresses import Endpoint
 from liftmount._internal.models.feeds import Delta
 from liftmount._internal.models.feeds import Evacuated
 from liftmount._internal.models.feeds import EVACUATIONS
 from liftmount._internal.models.feeds import Expiring
-from liftmount._internal.models.feeds import Knowledge
 from liftmount._internal.models.feeds import Listing
+from liftmount._internal.models.feeds import Snapshot
 from liftmount._internal.models.feeds import TARGETS
 from liftmount._internal.models.feeds import TargetUnknown
 from liftmount._internal.models.members import Member
@@ -37,9 +37,11 @@
 NONE_EVACUATED = Evacuated(frozenset(), 5)
 
 
-def make_beat(sender='b', age_ms=0, base=10, targets=10, version=3, **more):
+def make_heartbeat(
+    sender='b', age_ms=0, base=10, targets=10, version=3, **more
+):
     """Return a beat without changes, unless told otherwise."""
-    return wire.Beat(
+    return wire.Heartbeat(
         sender=sender,
         age_ms=age_ms,
         base=base,
@@ -53,12 +55,14 @@
 
 def make_member(name='me', order=('b', 'me'), revision=10):
     """Return a member that has run for a long time and knows something."""
-    state = spreading.SpreadState(name, START_MS - 60_000, is_reading=False)
-    spreading.decide(state, spreading.OrderChanged(tuple(order)))
-    spreading.decide(
-        state, spreading.KnowledgeChanged(revision, 5, 3, NONE_EVACUATED)
+    state = dissemination.DisseminationState(
+        name, START_MS - 60_000, is_reader=False
     )
-    state.heard_ms = START_MS
+    dissemination.decide(state, dissemination.RelayOrderChanged(tuple(order)))
+    dissemination.decide(
+        state, dissemination.RevisionsChanged(revision, 5, 3, NONE_EVACUATED)
+    )
+    state.last_received_ms = START_MS
     state.confirmed_ms = START_MS
     return state
 
@@ -75,16 +79,20 @@
     began_ms = START_MS
     if how.startswith('after'):
         began_ms -= int(how.split()[-2])
-    context.state = spreading.SpreadState('me', START_MS, process_ms=began_ms)
-    spreading.decide(context.state, spreading.OrderChanged(('b', 'me')))
+    context.state = dissemination.DisseminationState(
+        'me', START_MS, process_ms=began_ms
+    )
+    dissemination.decide(
+        context.state, dissemination.RelayOrderChanged(('b', 'me'))
+    )
     if known == 'all':
-        event = spreading.KnowledgeChanged(10, 5, 3, NONE_EVACUATED)
-        spreading.decide(context.state, event)
+        event = dissemination.RevisionsChanged(10, 5, 3, NONE_EVACUATED)
+        dissemination.decide(context.state, event)
     if how == 'proven':
         for feed in context.state.feeds:
             news = Listing((), 5)
-            event = spreading.StoreAnswered(feed, news, START_MS)
-            spreading.decide(context.state, event)
+            event = dissemination.StoreAnswered(feed, news, START_MS)
+            dissemination.decide(context.state, event)
     context.now_ms = START_MS
 
 
@@ -128,11 +136,15 @@
         context.now_ms += TICK_MS
         now_ms = context.now_ms
         if age_ms is not None and now_ms % BEAT_EVERY_MS == 0:
-            beat = make_beat(age_ms=age_ms, targets=state.targets_revision)
-            spreading.decide(state, spreading.BeatArrived(beat, now_ms))
-        done = spreading.decide(state, Tick(now_ms))
+            beat = make_heartbeat(
+                age_ms=age_ms, targets=state.targets_revision
+            )
+            dissemination.decide(
+                state, dissemination.HeartbeatReceived(beat, now_ms)
+            )
+        done = dissemination.decide(state, Tick(now_ms))
         context.asked += sum(
-            isinstance(one, spreading.AskForBeat) for one in done
+            isinstance(one, dissemination.RequestHeartbeat) for one in done
         )
 
 
@@ -149,29 +161,29 @@
 
 @then('it reads the store: {answer}')
 def reads_store(context, answer):
-    assert context.state.is_reading == (answer == 'yes'), context.state
+    assert context.state.is_reader == (answer == 'yes'), context.state
 
 
 @when('its order is empty')
 def order_empty(context):
-    spreading.decide(context.state, spreading.OrderChanged(()))
+    dissemination.decide(context.state, dissemination.RelayOrderChanged(()))
 
 
 @when('it reads the store: {reads}, and 5 segments wait within 100 ms')
 def segments_wait(context, reads):
-    context.state.is_reading = reads == 'yes'
+    context.state.is_reader = reads == 'yes'
     context.actions = []
     for index in range(5):
         event = TargetUnknown(START_MS + 20 * index)
-        context.actions += spreading.decide(context.state, event)
+        context.actions += dissemination.decide(context.state, event)
 
 
 @then('it asks {whom}, once')
 def asks_once(context, whom):
-    wanted = spreading.ReadNow()
+    wanted = dissemination.PollStore()
     if whom.startswith('member '):
         peer = whom.removeprefix('member ')
-        wanted = spreading.Pull(peer, spreading.Scope.ALL)
+        wanted = dissemination.Pull(peer, dissemination.Scope.ALL)
     assert context.actions == [wanted], context.actions
 
 
@@ -181,10 +193,10 @@
     context.began = []
     for index, name in enumerate(names[1:]):
         state = make_member(name, names)
-        state.spread = index / count
+        state.jitter = index / count
         for now_ms in range(START_MS, START_MS + 5_000, TICK_MS):
-            for one in spreading.decide(state, Tick(now_ms)):
-                if isinstance(one, spreading.SetReading):
+            for one in dissemination.decide(state, Tick(now_ms)):
+                if isinstance(one, dissemination.SetStoreReader):
                     context.began.append(now_ms - START_MS)
 
 
@@ -205,18 +217,18 @@
 @when('a beat brings changes from revision {base:d} to {revision:d}')
 def beat_with_changes(context, base, revision):
     entry = make_entry('new', 'guide')
-    beat = make_beat(base=base, targets=revision, written=(entry,))
-    context.actions = spreading.decide(
-        context.state, spreading.BeatArrived(beat, START_MS)
+    beat = make_heartbeat(base=base, targets=revision, written=(entry,))
+    context.actions = dissemination.decide(
+        context.state, dissemination.HeartbeatReceived(beat, START_MS)
     )
 
 
 @when('beats of version {version:d} arrive {times:d} times within 100 ms')
 def beats_of_version(context, version, times):
     for index in range(times):
-        beat = make_beat(version=version)
-        event = spreading.BeatArrived(beat, START_MS + 20 * index)
-        context.actions += spreading.decide(context.state, event)
+        beat = make_heartbeat(version=version)
+        event = dissemination.HeartbeatReceived(beat, START_MS + 20 * index)
+        context.actions += dissemination.decide(context.state, event)
 
 
 @when('beats of version {version:d} arrive from {senders} for {span:d} ms, '
@@ -225,37 +237,37 @@
     context.actions = []
     for now_ms in range(START_MS, START_MS + span, BEAT_EVERY_MS):
         for sender in senders.replace(' and ', ', ').split(', '):
-            beat = make_beat(sender=sender, version=version)
-            event = spreading.BeatArrived(beat, now_ms)
-            found = spreading.decide(context.state, event)
+            beat = make_heartbeat(sender=sender, version=version)
+            event = dissemination.HeartbeatReceived(beat, now_ms)
+            found = dissemination.decide(context.state, event)
             context.actions += found
             if what == 'each pull fails at once':
                 for one in found:
-                    ended = spreading.PullEnded(one.peer)
-                    spreading.decide(context.state, ended)
+                    ended = dissemination.PullEnded(one.peer)
+                    dissemination.decide(context.state, ended)
 
 
 @then('it pulls {pulls:d} times')
 def pulled_times(context, pulls):
     kinds = [type(one) for one in context.actions]
-    assert kinds.count(spreading.Pull) == pulls, context.actions
+    assert kinds.count(dissemination.Pull) == pulls, context.actions
 
 
 @then('it takes over {taken:d} changes and pulls {pulls:d} times')
 def taken_and_pulled(context, taken, pulls):
     kinds = [type(one) for one in context.actions]
-    assert kinds.count(spreading.TakeOver) == taken, context.actions
-    assert kinds.count(spreading.Pull) == pulls, context.actions
+    assert kinds.count(dissemination.ApplyDelta) == taken, context.actions
+    assert kinds.count(dissemination.Pull) == pulls, context.actions
 
 
 @then('what it pulls is {what}')
 def what_is_pulled(context, what):
     (pull,) = [
-        one for one in context.actions if isinstance(one, spreading.Pull)
+        one for one in context.actions if isinstance(one, dissemination.Pull)
     ]
     scopes = {
-        'routes alone': spreading.Scope.ROUTES,
-        'routes and targets': spreading.Scope.NEWER,
+        'routes alone': dissemination.Scope.ROUTES,
+        'routes and targets': dissemination.Scope.NEWER,
     }
     assert pull.scope is scopes[what], pull
 
@@ -278,8 +290,8 @@
     def read(self, name, delta):
         """Let a member read a change from the store."""
         self.apply(name, delta)
-        event = spreading.StoreAnswered(TARGETS, delta, self.now_ms)
-        spreading.decide(self.members[name], event)
+        event = dissemination.StoreAnswered(TARGETS, delta, self.now_ms)
+        dissemination.decide(self.members[name], event)
 
     def apply(self, name, delta):
         """Take a change over into what a member holds."""
@@ -294,37 +306,37 @@
         beats = []
         for name in alive or self.names:
             state = self.members[name]
-            for one in spreading.decide(state, Tick(self.now_ms)):
-                if isinstance(one, spreading.SendBeat):
-                    data = wire.encode_beat(one.beat)
+            for one in dissemination.decide(state, Tick(self.now_ms)):
+                if isinstance(one, dissemination.SendHeartbeat):
+                    data = wire.encode_heartbeat(one.heartbeat)
                     self.sizes.append(len(data))
                     self.sent.append(len(one.children))
                     beats += [(name, child, data) for child in one.children]
         for sender, receiver, data in beats:
             if not is_lost(sender, receiver):
-                self.deliver(receiver, wire.decode_beat(data))
+                self.deliver(receiver, wire.decode_heartbeat(data))
 
     def deliver(self, receiver, beat):
         """Hand a beat over and do what the receiver wants done."""
         state = self.members[receiver]
-        event = spreading.BeatArrived(beat, self.now_ms)
-        for one in spreading.decide(state, event):
-            if isinstance(one, spreading.TakeOver):
+        event = dissemination.HeartbeatReceived(beat, self.now_ms)
+        for one in dissemination.decide(state, event):
+            if isinstance(one, dissemination.ApplyDelta):
                 self.apply(receiver, one.delta)
             elif isinstance(one, Evacuated):
                 self.evacuated[receiver] = one
-            elif isinstance(one, spreading.Pull):
+            elif isinstance(one, dissemination.Pull):
                 self.pulls += 1
-                spreading.decide(state, spreading.PullEnded(one.peer))
-                if one.scope is not spreading.Scope.ROUTES:
+                dissemination.decide(state, dissemination.PullEnded(one.peer))
+                if one.scope is not dissemination.Scope.ROUTES:
                     self.copy(one.peer, receiver)
 
     def copy(self, source, receiver):
         """Let a member take over all that another one holds."""
         self.held[receiver] = dict(self.held[source])
         revision = self.members[source].targets_revision
-        event = spreading.KnowledgeChanged(revision, 5, 3, NONE_EVACUATED)
-        spreading.decide(self.members[receiver], event)
+        event = dissemination.RevisionsChanged(revision, 5, 3, NONE_EVACUATED)
+        dissemination.decide(self.members[receiver], event)
 
 
 @given('a domain of {size:d} members that all know revision 10')
@@ -356,8 +368,8 @@
     """Let the first member hear of evacuations from the store."""
     domain = context.domain
     domain.round()
-    event = spreading.StoreAnswered(EVACUATIONS, news, domain.now_ms)
-    spreading.decide(domain.members[domain.names[0]], event)
+    event = dissemination.StoreAnswered(EVACUATIONS, news, domain.now_ms)
+    dissemination.decide(domain.members[domain.names[0]], event)
 
 
 @then('every member holds {names} for evacuated after {rounds:d} rounds of '
@@ -380,10 +392,10 @@
     root = domain.members[domain.names[0]]
     (sent,) = [
         one
-        for one in spreading.decide(root, Tick(domain.now_ms + 1))
-        if isinstance(one, spreading.SendBeat)
+        for one in dissemination.decide(root, Tick(domain.now_ms + 1))
+        if isinstance(one, dissemination.SendHeartbeat)
     ]
-    assert sent.beat.evacuated.domains == {name}, sent
+    assert sent.heartbeat.evacuated.domains == {name}, sent
 
 
 @given('members a, b, c and d, which have started in this order')
@@ -522,7 +534,7 @@
 def random_beat(rng):
     """Return some beat."""
     entries = tuple(random_entry(rng) for _ in range(rng.randrange(5)))
-    return make_beat(
+    return make_heartbeat(
         age_ms=rng.randrange(9_000),
         base=rng.randrange(100),
         targets=rng.randrange(2**40),
@@ -550,15 +562,15 @@
         for _ in range(rng.randrange(3))
     )
     table = rng.choice((None, table))
-    return Knowledge(entries, 7, table, 8, doubted, former)
+    return Snapshot(entries, 7, table, 8, doubted, former)
 
 
 CODECS = {
-    'beats': (random_beat, wire.encode_beat, wire.decode_beat),
+    'beats': (random_beat, wire.encode_heartbeat, wire.decode_heartbeat),
     'knowledge': (
         random_knowledge,
-        wire.encode_knowledge,
-        wire.decode_knowledge,
+        wire.encode_snapshot,
+        wire.decode_snapshot,
     ),
 }
 
@@ -587,8 +599,8 @@
         fields = [rng.choice((3, 'a', b'x', None, [1], {})) for _ in range(9)]
         for data in (rng.randbytes(rng.randrange(60)), cbor2.dumps(fields)):
             for decode in (
-                wire.decode_beat,
-                wire.decode_knowledge,
+                wire.decode_heartbeat,
+                wire.decode_snapshot,
                 wire.decode_members,
             ):
                 try:
@@ -600,7 +612,7 @@
 @then('each was read or refused')
 def each_read(context):
     # Anything but a PacketError has failed the step before.
-    allowed = {'refused', 'Beat', 'Knowledge', 'list'}
+    allowed = {'refused', 'Heartbeat', 'Snapshot', 'list'}
     assert 'refused' in context.outcomes <= allowed, context.outcomes
 
 
@@ -651,8 +663,8 @@
 def domain_without_store(context, count):
     context.domain = Domain(count)
     for index, state in enumerate(context.domain.members.values()):
-        state.is_reading = index == 0
-        state.spread = index % 8 / 8
+        state.is_reader = index == 0
+        state.jitter = index % 8 / 8
 
 
 @when('the store {answers} those who ask, for 8 s')
@@ -664,11 +676,11 @@
         domain.now_ms += TICK_MS
         beats = []
         for name, state in domain.members.items():
-            for one in spreading.decide(state, Tick(domain.now_ms)):
+            for one in dissemination.decide(state, Tick(domain.now_ms)):
                 match one:
-                    case spreading.SendBeat(beat, children):
+                    case dissemination.SendHeartbeat(beat, children):
                         beats += [(child, beat) for child in children]
-                    case spreading.SetReading(True):
+                    case dissemination.SetStoreReader(True):
                         lasted_ms = domain.now_ms - start_ms
                         context.began.setdefault(name, lasted_ms)
                         if answers == 'answers':
@@ -681,8 +693,8 @@
     """Let the store say that nothing has changed."""
     for feed in state.feeds:
         news = Delta((), (), state.targets_revision, state.targets_revision)
-        event = spreading.StoreAnswered(feed, news, now_ms)
-        spreading.decide(state, event)
+        event = dissemination.StoreAnswered(feed, news, now_ms)
+        dissemination.decide(state, event)
 
 
 @then('{readers:d} members have begun to read, the last of them after '
@@ -702,7 +714,7 @@
     """A domain whose members also ask for beats.
 
     ``is_lost(sender, receiver)`` tells of beats, ``answers(sender,
-    receiver)`` of those that were asked for.  Whoever is called ``far`` is
+    receiver)`` of those that were asked for.  Whoever is called ``remote`` is
     in another domain, and knows what the store said ``far_age_ms`` ago.
     """
 
@@ -720,35 +732,35 @@
         while domain.now_ms < until_ms:
             domain.now_ms += TICK_MS
             for state in domain.members.values():
-                if is_store_up and state.is_reading:
+                if is_store_up and state.is_reader:
                     answer(state, domain.now_ms)
             for name, state in domain.members.items():
                 event = Tick(domain.now_ms)
-                for one in spreading.decide(state, event):
+                for one in dissemination.decide(state, event):
                     self.execute(name, one)
 
     def execute(self, name, action):
         """Do what a member decided."""
         match action:
-            case spreading.SendBeat(beat, receivers):
+            case dissemination.SendHeartbeat(beat, receivers):
                 for receiver in receivers:
                     if not self.is_lost(name, receiver):
                         self.domain.deliver(receiver, beat)
-            case spreading.AskForBeat(peers):
+            case dissemination.RequestHeartbeat(peers):
                 for peer in peers:
                     self.ask(name, peer)
-            case spreading.SetReading(True):
+            case dissemination.SetStoreReader(True):
                 self.began[name] = self.domain.now_ms
 
     def ask(self, name, peer):
         """Let a peer answer."""
         if peer == 'far':
-            beat = make_beat('far', self.far_age_ms)
+            beat = make_heartbeat('far', self.far_age_ms)
             self.domain.deliver(name, beat)
         elif self.answers(peer, name):
-            event = spreading.BeatAsked(name, self.domain.now_ms)
-            (told,) = spreading.decide(self.domain.members[peer], event)
-            self.domain.deliver(name, told.beat)
+            event = dissemination.HeartbeatRequested(name, self.domain.now_ms)
+            (told,) = dissemination.decide(self.domain.members[peer], event)
+            self.domain.deliver(name, told.heartbeat)
 
 
 @when('beats of parents to every third member are lost for {interval:d} s, '
@@ -768,7 +780,7 @@
         lambda _sender, _receiver: random.random() < shares[answers],
     )
     for state in domain.members.values():
-        state.is_reading = state.is_root
+        state.is_reader = state.is_root
     asking.run(1_000 * interval, is_store_up=True)
     context.began = asking.began
 
@@ -776,7 +788,7 @@
 @when('a member of another domain knows what the store said {age:d} ms ago')
 def far_member_knows(context, age):
     for state in context.domain.members.values():
-        state.far = ('far',)
+        state.remote = ('far',)
     asking = AskingDomain(
         context.domain,
         lambda _sender, _receiver: False,
@@ -800,14 +812,14 @@
             news = Listing((), 10, age_ms, may_lag='may lag' in text)
             if 'watch' in text:
                 news = Delta((), (), 10, 10, age_ms)
-            event = spreading.StoreAnswered(feed, news, context.now_ms)
-            spreading.decide(context.state, event)
+            event = dissemination.StoreAnswered(feed, news, context.now_ms)
+            dissemination.decide(context.state, event)
 
 
 @then('its knowledge is {age} ms old')
 def knowledge_is_old(context, age):
-    known_ms = context.state.known_as_of_ms()
+    known_ms = context.state.last_confirmed_ms()
     if age == 'unknown':
-        assert known_ms == spreading.NEVER_MS, known_ms
+        assert known_ms == dissemination.NEVER_MS, known_ms
     else:
         assert context.now_ms - known_ms == int(age), known_ms
--- a/tests/features/steps/stalls_steps.py
+++ b/tests/features/steps/stalls_steps.py
@@ -8,8 +8,8 @@
 from behave import then
 from behave import when
 
-from liftmount._internal.decisions import doubts
 from liftmount._internal.decisions import forwarding
+from liftmount._internal.decisions import stall_reports
 from liftmount._internal.decisions.flow_table import Flow
 from liftmount._internal.decisions.flow_table import Phase
 from liftmount._internal.decisions.pool import Pool
@@ -18,7 +18,7 @@
 from liftmount._internal.decisions.stalls import StallWatch
 from liftmount._internal.exceptions import PacketError
 from liftmount._internal.models import flow_messages as flows
-from liftmount._internal.models import knowledge as wire
+from liftmount._internal.models import peer_messages as wire
 from liftmount._internal.models.records import Tick
 from tests.features.steps.beliefs_steps import read_events
 from tests.features.steps.forwarding_steps import forwards
@@ -85,18 +85,18 @@
 @given('a member with {count:d} others')
 def member_with_others(context, count):
     peers = tuple(f'm{number}' for number in range(count))
-    context.doubts = doubts.DoubtState('me', peers)
+    context.doubts = stall_reports.StallReportState('me', peers)
     context.now_ms = START_MS
 
 
 def see(context, source, target=TARGET, ago_ms=0, number=None):
     """Let a member see a target stall; return what is done about it."""
-    event = doubts.StallSeen(target, WAITED_MS, context.now_ms)
+    event = stall_reports.StallSeen(target, WAITED_MS, context.now_ms)
     if source != 'me':
         number = context.now_ms if number is None else number
-        doubt = wire.Doubt(target, source, WAITED_MS, ago_ms, number)
-        event = doubts.DoubtArrived(doubt, context.now_ms)
-    return doubts.decide(context.doubts, event)
+        doubt = wire.StallReport(target, source, WAITED_MS, ago_ms, number)
+        event = stall_reports.StallReportReceived(doubt, context.now_ms)
+    return stall_reports.decide(context.doubts, event)
 
 
 @when('a target is seen to stall by, in this order: {events}')
@@ -107,7 +107,9 @@
             case ['wait', interval]:
                 context.now_ms += int(interval)
                 context.held_ms = 0
-                actions = doubts.decide(context.doubts, Tick(context.now_ms))
+                actions = stall_reports.decide(
+                    context.doubts, Tick(context.now_ms)
+                )
             case [source, ago, 'ms', 'ago']:
                 actions = see(context, source, ago_ms=int(ago))
             case [source, 'again']:
@@ -115,7 +117,7 @@
             case [source]:
                 actions = see(context, source)
         for one in actions:
-            if isinstance(one, doubts.HoldOut):
+            if isinstance(one, stall_reports.EjectTarget):
                 context.held_ms = one.until_ms - context.now_ms
 
 
@@ -129,7 +131,7 @@
 def try_again(context, count, most):
     untils = []
     for number in range(count):
-        context.doubts = doubts.DoubtState(f'm{number}')
+        context.doubts = stall_reports.StallReportState(f'm{number}')
         see(context, 'b')
         (hold,) = see(context, 'c')
         untils.append(hold.until_ms)
@@ -144,7 +146,9 @@
         context.now_ms += 1_000 // count
         actions = see(context, source, target=f't{number}')
         context.told += [
-            one for one in actions if isinstance(one, doubts.TellDoubt)
+            one
+            for one in actions
+            if isinstance(one, stall_reports.SendStallReport)
         ]
 
 
@@ -156,19 +160,19 @@
 
 @when('a doubt is told over the wire')
 def doubt_over_wire(context):
-    context.doubt = wire.Doubt('i-7f', 'one', 321, 45, 6)
-    context.datagram = wire.encode_doubt(context.doubt)
+    context.doubt = wire.StallReport('i-7f', 'one', 321, 45, 6)
+    context.datagram = wire.encode_stall_report(context.doubt)
 
 
 @then('it is the same, and random bytes are refused')
 def same_doubt(context):
-    assert wire.is_doubt(context.datagram)
-    assert not wire.is_beat(context.datagram)
-    assert wire.decode_doubt(context.datagram) == context.doubt
+    assert wire.is_stall_report(context.datagram)
+    assert not wire.is_heartbeat(context.datagram)
+    assert wire.decode_stall_report(context.datagram) == context.doubt
     rng = random.Random(5)
     for _ in range(ANSWERS):
         try:
-            wire.decode_doubt(context.datagram[:1] + rng.randbytes(20))
+            wire.decode_stall_report(context.datagram[:1] + rng.randbytes(20))
         except PacketError:
             continue
         raise AssertionError('random bytes were read')
@@ -204,7 +208,7 @@
     """One balancer: its view of the targets, and what it was told."""
 
     pool: Pool
-    doubts: doubts.DoubtState
+    doubts: stall_reports.StallReportState
     watch: StallWatch = Factory(StallWatch)
     inbox: list = Factory(list)
 
@@ -226,7 +230,9 @@
         self.members = {
             name: Member(
                 make_pool(targets, 1 + index),
-                doubts.DoubtState(name, tuple(one for one in names)),
+                stall_reports.StallReportState(
+                    name, tuple(one for one in names)
+                ),
             )
             for index, name in enumerate(names)
         }
@@ -268,24 +274,26 @@
 
     def _look(self, name, member, now_ms):
         heard, member.inbox = member.inbox, []
-        events = [doubts.DoubtArrived(doubt, now_ms) for doubt in heard]
+        events = [
+            stall_reports.StallReportReceived(doubt, now_ms) for doubt in heard
+        ]
         for stall in member.watch.find(now_ms, True):
             member.pool.avoid(stall.target, now_ms + forwarding.AVOID_MS)
             events.append(
-                doubts.StallSeen(stall.target, stall.waited_ms, now_ms)
+                stall_reports.StallSeen(stall.target, stall.waited_ms, now_ms)
             )
         if not self.is_telling:
             return
         for event in events:
-            for action in doubts.decide(member.doubts, event):
+            for action in stall_reports.decide(member.doubts, event):
                 self._obey(member, action, now_ms)
 
     def _obey(self, member, action, now_ms):
         match action:
-            case doubts.TellDoubt(doubt, peers):
+            case stall_reports.SendStallReport(doubt, peers):
                 for peer in peers:
                     self.members[peer].inbox.append(doubt)
-            case doubts.HoldOut(target, until_ms):
+            case stall_reports.EjectTarget(target, until_ms):
                 member.pool.hold_out(target, until_ms, now_ms)
 
 
--- a/tests/features/steps/transfer_steps.py
+++ b/tests/features/steps/transfer_steps.py
@@ -9,14 +9,14 @@
 
 from liftmount._internal.clock import Clock
 from liftmount._internal.clock import ManualClock
-from liftmount._internal.decisions import following
-from liftmount._internal.decisions import spreading
+from liftmount._internal.decisions import dissemination
+from liftmount._internal.decisions import list_watch
 from liftmount._internal.decisions import target_health
-from liftmount._internal.decisions.following import freshness_times
+from liftmount._internal.decisions.list_watch import freshness_times
 from liftmount._internal.exceptions import PlatformError
 from liftmount._internal.kernel import Kernel
 from liftmount._internal.models.feeds import Delta
-from liftmount._internal.models.feeds import FeedNews
+from liftmount._internal.models.feeds import FeedUpdate
 from liftmount._internal.models.feeds import Listing
 from liftmount._internal.models.feeds import ROUTES
 from liftmount._internal.models.feeds import TARGETS
@@ -108,7 +108,7 @@
     async def fetch():
         feed = make_feed(context)
         try:
-            return await feed.fetch(False, following.LIST_TIMEOUT_MS)
+            return await feed.fetch(False, list_watch.LIST_TIMEOUT_MS)
         finally:
             feed.close()
 
@@ -132,12 +132,12 @@
 def list_age(context):
     age_ms = context.listing.age_ms
     assert 0.7 * context.took_ms < age_ms <= context.took_ms, age_ms
-    state = spreading.SpreadState('me', 0)
+    state = dissemination.DisseminationState('me', 0)
     now_ms = 1_000_000
     state.read_ms = dict.fromkeys(state.feeds, now_ms)
-    event = spreading.StoreAnswered(ROUTES, context.listing, now_ms)
-    spreading.decide(state, event)
-    assert state.known_as_of_ms() == now_ms - age_ms
+    event = dissemination.StoreAnswered(ROUTES, context.listing, now_ms)
+    dissemination.decide(state, event)
+    assert state.last_confirmed_ms() == now_ms - age_ms
 
 
 @when('a balancer in domain {domain} starts')
@@ -270,22 +270,22 @@
 
 @when('it is told to rest')
 def told_to_rest(context):
-    context.messages = [following.Paused()]
+    context.messages = [list_watch.Paused()]
 
 
 @when('it is told to rest, and a peer tells all')
 def told_to_rest_and_known(context):
-    context.messages = [following.Paused(), following.Known(10)]
+    context.messages = [list_watch.Paused(), list_watch.ListKnown(10)]
 
 
 @when('a peer tells all')
 def peer_tells(context):
-    context.messages = [following.Known(10)]
+    context.messages = [list_watch.ListKnown(10)]
 
 
 @when('it is told to rest, and to read again')
 def rest_and_read(context):
-    context.messages = [following.Paused(), following.Resumed(None)]
+    context.messages = [list_watch.Paused(), list_watch.Resumed(None)]
 
 
 async def play_feed(context):
@@ -308,7 +308,7 @@
     await asyncio.sleep(SETTLE_S)
     if service.state.revision == 10:
         # The watch after a peer's knowledge waits for a while.
-        await asyncio.sleep(following.SETTLE_MS / 1_000)
+        await asyncio.sleep(list_watch.RECHECK_MS / 1_000)
     task.cancel()
     await service.stop()
     return feed.calls, listener.posted
@@ -330,13 +330,13 @@
     path.clock = ManualClock(1_000_000)
     entry = make_entry('one', 'guide')
     service = PacketService(Kernel(path.clock), path)
-    service.handle(FeedNews(TARGETS, Listing((entry,), 10)))
+    service.handle(FeedUpdate(TARGETS, Listing((entry,), 10)))
     match transfer.split():
         case ['transferred', size, 'bytes']:
             path.note_transfer(int(size))
         case ['got', 'routes', 'within', lasted, 'ms']:
             news = Delta((), (), 12, 10, int(lasted))
-            service.handle(FeedNews(ROUTES, news))
+            service.handle(FeedUpdate(ROUTES, news))
 
 
 @when('four probes of the target, sent {after:d} ms later, are {result}')
