--- a/src/liftmount/_internal/decisions/__init__.py
+++ b/src/liftmount/_internal/decisions/__init__.py
@@ -1,5 +1,6 @@
-"""What is decided, without sockets, clocks or randomness of its own.
+"""Decision logic, free of input and output.
 
-Most modules have ``decide(state, event) -> actions``; docs/ARCHITECTURE.md
-and docs/PLATFORM.md say which question each answers.
+Most modules have ``decide(state, event) -> actions`` and use no sockets,
+clocks or randomness of their own; docs/ARCHITECTURE.md and docs/PLATFORM.md
+describe each.
 """
--- a/src/liftmount/_internal/decisions/bootstrap.py
+++ b/src/liftmount/_internal/decisions/bootstrap.py
@@ -1,11 +1,11 @@
-"""How a newcomer learns of the others, however many start at once.
+"""Bootstrap: how a starting balancer gets the list of members.
 
-Gossip alone, within its byte budget, is too slow for that, so a newcomer
-asks for lists: the seeds first, then members of its own failure domain,
-which have asked the seeds as well.  Whoever asks tells its own record, so
-that those who ask later hear of it.  The answer holds the asker's own
-domain and a few members of each other one: what a balancer needs all of,
-and what it needs some of.
+Gossip within its byte budget is too slow when many balancers start at once,
+so each requests lists: from the seeds first, then from members of its own
+failure domain, which have asked the seeds as well.  A request carries the
+requester's own record, which the answers to later requests include.  An
+answer holds all members of the requester's domain and a few of each other
+domain.
 """
 
 from zlib import crc32
@@ -13,28 +13,26 @@
 from liftmount._internal.models.addresses import Endpoint
 from liftmount._internal.models.members import Member
 
-# When a newcomer asks: at once, when the seeds have heard of those that
-# started with it, and while these tell each other.
+# Times since the start: at once, then when the seeds have received the
+# requests of balancers that started together.
 ATTEMPT_TIMES_MS = (0, 1_000, 2_000, 3_500, 5_000)
-# By then a newcomer has heard of all members of its domain, and they of it.
+# By then a balancer and the members of its domain have each other's records.
 JOIN_COMPLETE_MS = 6_000
-# The first of these turns go to one seed each, later ones to two members:
-# in simulated starts of 91 to 700 balancers all know their domain then.
+# The first attempts ask one seed each, later ones members.
 SEED_ATTEMPTS = 2
 MEMBERS_PER_ATTEMPT = 2
-# Members of each other domain that a list holds: enough that one of them
-# is alive as long as the domain is in reach.
+# Members of each other domain in a list: enough that one of them is live
+# while the domain is reachable.
 REMOTE_MEMBERS = 4
 
 
 def peers_to_ask(
     own: Member, attempt: int, seeds: tuple[Endpoint, ...], local: list[Member]
 ) -> list[Endpoint]:
-    """Return whom to ask in a turn, in the order in which to try.
+    """Return the peers to ask in an attempt, in order of preference.
 
-    ``answers_needed`` tells how many of them have to answer.  ``local`` are
-    the known members of the own domain.  Newcomers begin at different
-    seeds, and at different members.
+    ``answers_needed`` returns how many of them have to answer.  ``local``
+    holds the known members of the own domain.  The order differs by member.
     """
     others = sorted(
         {one.peer for one in local if one.peer != own.peer}, key=str
@@ -50,7 +48,7 @@
 
 
 def answers_needed(attempt: int) -> int:
-    """Return how many answers end a turn."""
+    """Return how many answers complete an attempt."""
     return 1 if attempt < SEED_ATTEMPTS else MEMBERS_PER_ATTEMPT
 
 
@@ -62,7 +60,7 @@
 
 
 def members_to_send(known: list[Member], requester: Member) -> list[Member]:
-    """Return the members that a newcomer is told of."""
+    """Return the members to list in the answer to ``requester``."""
     selected = []
     remote = {}
     for member in known:
@@ -72,7 +70,7 @@
             remote.setdefault(member.failure_domain, []).append(member)
     seed = crc32(requester.name.encode())
     for members in remote.values():
-        # Each asker is told of others, so that none is known to all.
+        # A choice that differs by requester spreads the load.
         members.sort(key=lambda one: crc32(one.name.encode(), seed))
         selected += members[:REMOTE_MEMBERS]
     return selected
--- a/src/liftmount/_internal/decisions/directory.py
+++ b/src/liftmount/_internal/decisions/directory.py
@@ -1,10 +1,10 @@
-"""What a balancer believes of the targets, from what the store tells.
+"""Directory of targets, from their entries in the store.
 
-Entries vanish for two reasons: a target is gone, or the store was away and
-its entry lapsed.  An entry that goes without having said that it drains is
-doubted for a while, as a target that lives writes it again.  Unless there
-was trouble with the store, a doubted target is the last choice for new
-flows.
+An entry is removed either because the target has ended or because the entry
+lapsed while the store was down.  Unless the target was draining, a removed
+entry therefore counts as missing for a while, in which a live target writes
+it again.  A missing target is the last choice for new flows, unless the
+store had failed just before.
 """
 
 from attrs import define
@@ -16,16 +16,16 @@
 from liftmount._internal.models.records import Tick
 from liftmount._internal.models.segments import TargetEntry
 
-# Targets that live write their entries within about two seconds of the
-# store's return; the rest is the way of a watch's answer.
+# Live targets write their entries within two seconds of the store's return;
+# the rest is the delay of a watch.
 MISSING_GRACE_MS = 2_500
 
 
 @message
 class TargetsListed(Message):
-    """A whole list of entries, as of ``revision``.
+    """All entries as of ``revision``, from the store or a peer.
 
-    A peer that tells it also says which entries it doubts.
+    A peer also sends the entries that it holds as ``missing``.
     """
 
     entries: tuple[TargetEntry, ...]
@@ -36,7 +36,7 @@
 
 @message
 class TargetsChanged(Message):
-    """Entries written and removed up to ``revision``, oldest first."""
+    """Entries written and names removed up to ``revision``, oldest first."""
 
     written: tuple[TargetEntry, ...]
     removed: tuple[str, ...]
@@ -53,31 +53,31 @@
 
 @message
 class EntryUpdated(Message):
-    """A target is there, and this is what it says of itself."""
+    """The entry of a target is new or has changed."""
 
     entry: TargetEntry
 
 
 @message
 class EntryMissing(Message):
-    """A target's entry vanished, and may come back."""
+    """The entry of a target is missing and may be written again."""
 
     entry: TargetEntry
 
 
 @message
 class EntryRemoved(Message):
-    """A target has ended."""
+    """A target has ended: its entry was removed."""
 
     entry: TargetEntry
 
 
 @define
 class DirectoryState:
-    """Entries believed, and those missing since trouble with the store.
+    """Entries of targets by name, those that are missing included.
 
-    ``missing`` maps names to the time at which a missing entry is taken
-    as gone.  ``trusted_from_ms``: removals before it may be lapses.
+    ``missing`` maps names to the time at which a missing entry is removed.
+    Removals before ``trusted_from_ms`` may be lapses.
     """
 
     entries: dict[str, TargetEntry] = Factory(dict)
@@ -94,7 +94,7 @@
         )
 
     def missing_entries(self, now_ms: int) -> tuple[Expiring, ...]:
-        """Return the entries that vanished of late."""
+        """Return the missing entries, with the time left to each."""
         return tuple(
             Expiring(self.entries[name], max(0, until_ms - now_ms))
             for name, until_ms in self.missing.items()
@@ -102,7 +102,7 @@
 
 
 def decide(state: DirectoryState, event) -> list:
-    """Return what changed in the belief."""
+    """Return the entries updated, missing and removed by an event."""
     match event:
         case TargetsListed():
             return _on_listed(state, event)
@@ -117,7 +117,7 @@
 
 
 def _on_listed(state, event):
-    # A list read from a lagging replica must not take anything back.
+    # A list of a lagging replica must not revert anything.
     if event.revision < state.revision:
         return []
     state.revision = event.revision
@@ -133,7 +133,7 @@
 
 
 def _add_missing(state, expiring, now_ms):
-    """Expiring what a peer doubts, for no longer than it does."""
+    """Hold an entry that a peer misses as missing, for no longer than it."""
     name = expiring.entry.name
     until_ms = now_ms + expiring.left_ms
     if name in state.missing:
@@ -152,7 +152,7 @@
     actions = []
     for entry in event.written:
         if is_late and _is_other_start(state, entry):
-            # Its earlier start, of which all flows are lost.
+            # From an earlier start of the target, whose flows are lost.
             continue
         actions += _on_written(state, entry)
     for name in event.removed:
@@ -194,7 +194,7 @@
 def _expire(state, now_ms):
     actions = []
     for name, until_ms in list(state.missing.items()):
-        # Further trouble may have moved the time.
+        # Another failure of the store may have extended the time.
         if now_ms >= max(until_ms, state.trusted_from_ms):
             actions += _remove(state, name)
     return actions
--- a/src/liftmount/_internal/decisions/dissemination.py
+++ b/src/liftmount/_internal/decisions/dissemination.py
@@ -1,10 +1,11 @@
-"""Who reads the store, and how its news reach the others of a domain.
-
-The root of a failure domain's relay tree reads the store for all; news
-run down the tree in beats, which also tell how old the knowledge is.  A
-member that hears no beat, or only old ones, reads the store itself: it
-may reach the store when it does not reach its peers.  So calls to the
-store grow with the domains, and no single balancer has to be up.
+"""Dissemination of the store's contents within a failure domain.
+
+The root of the domain's relay tree reads the store.  Heartbeats carry
+changes down the tree, together with the age of the sender's data.  A
+member that receives no heartbeat, or only stale ones, reads the store
+itself, as it may reach the store when it does not reach its peers.  The
+number of calls to the store thus grows with the failure domains, and no
+single balancer has to be up.
 """
 
 from enum import Enum
@@ -33,42 +34,40 @@
 from liftmount._internal.models.records import message
 from liftmount._internal.models.records import Tick
 
-# Beats come this often; a beat is some 60 bytes, to eight children 1.2 KB
-# a second with all overhead.
 HEARTBEAT_INTERVAL_MS = 400
-# Who has missed two beats, or whose knowledge is nearly too old, asks peers
-# for a beat.  Views of who is there differ for seconds while many come and
-# go, and a parent then sends nothing to some of its children.
+# A member that has missed two heartbeats requests one.  Views of the
+# membership differ while many members join or leave, and a parent then sends
+# nothing to some of its children.
 REQUEST_AFTER_MS = 1_000
-# Between two questions: some fall into the time until the store is read.
 REQUEST_INTERVAL_MS = 200
-# Questions of a newcomer before it reads the store: by the second one the
-# answers to the first are there.
+# A starting member requests this many heartbeats before it reads the store:
+# the first request is answered by the time of the second.
 REQUESTS_BEFORE_READ = 2
+# A member requests a heartbeat this long before its data is stale.
 REQUEST_MARGIN_MS = 500
-# Members start to read spread over this time, as all miss the same beat.
+# Members begin to read the store spread over this time, as all of them miss
+# the same heartbeat.
 READ_JITTER_MS = 400
-# Members further down the tree begin this much later for each level: those
-# above them tell them by then, if they reach the store.
+# Delay for each level of the tree: members above send a heartbeat by then if
+# they reach the store.
 LEVEL_DELAY_MS = 600
-# Until a newcomer has heard who else is there it takes itself for the root,
-# and would read the store for nobody.
+# Until a starting member has received the membership it takes itself for the
+# root, and would read the store needlessly.
 STARTUP_GRACE_MS = 1_500
-# Changes stay in beats for this long, so that one lost beat costs nothing.
+# Changes are repeated in heartbeats for this long, in case one is lost.
 CHANGE_RETENTION_MS = 1_500
-# What a beat may hold of changes: some 90 bytes each, in one datagram.
+# Changes in one heartbeat, which has to fit into a datagram.
 MAX_CHANGES = 10
-# Pause between two attempts to get the whole knowledge of a peer.
+# Least time between two pulls of a snapshot.
 PULL_INTERVAL_MS = 300
-# Pulls at the same time, each from another peer: the second one is for the
-# case that the first peer has died.  Whole knowledge of 27,000 targets takes
-# seconds on a link of 5 Mbit/s, and each further copy would slow all down.
+# Concurrent pulls, each from another peer: the second one is for the case
+# that the first peer has died, and each further one would slow all down.
 MAX_PULLS = 2
 
-# What was never confirmed, also on a machine whose clock has just begun.
+# Before the start of any clock: the time of what was never confirmed.
 NEVER_MS = -3_600_000
 
-# Why a member reads that is not the root.
+# Reasons for which a member other than the root reads the store.
 NOT_CONFIRMED = 'not proven since its start'
 NO_HEARTBEAT = 'no beat'
 STALE_HEARTBEATS = 'old beats'
@@ -88,7 +87,7 @@
 
 @message
 class HeartbeatReceived(Message):
-    """A beat of a peer arrived."""
+    """A heartbeat of a peer was received."""
 
     heartbeat: Heartbeat
     now_ms: int
@@ -96,7 +95,7 @@
 
 @message
 class StoreAnswered(Message):
-    """Our own call to the store, for one feed, was answered."""
+    """A call of this balancer to the store was answered."""
 
     feed: str
     update: Listing | Delta
@@ -105,9 +104,9 @@
 
 @message
 class RevisionsChanged(Message):
-    """What this balancer holds; revisions and version only grow.
+    """The revisions that this balancer holds; they only grow.
 
-    ``evacuated`` is None if it is not known which domains are.
+    ``evacuated`` is None if the evacuated domains are not known.
     """
 
     targets_revision: int
@@ -118,14 +117,14 @@
 
 @message
 class PullEnded(Message):
-    """What a peer knows has come, or can't be had."""
+    """A pull from a peer has succeeded or failed."""
 
     peer: str
 
 
 @message
 class PeerDiffers(Message):
-    """A peer of any domain holds another version, and we know little."""
+    """A peer of any domain holds another version, and may be ahead."""
 
     peer: str
     now_ms: int
@@ -133,12 +132,12 @@
 
 @message
 class PollStore(Message):
-    """Ask the store at once for what changed in targets."""
+    """Ask the store at once for changes of targets."""
 
 
 @message
 class SendHeartbeat(Message):
-    """Send a beat to the children in the tree."""
+    """Send a heartbeat to ``children`` in the relay tree."""
 
     heartbeat: Heartbeat
     children: tuple[str, ...]
@@ -146,7 +145,7 @@
 
 @message
 class HeartbeatRequested(Message):
-    """A peer has heard no beat, or only old ones, and asks for one."""
+    """A peer that received no fresh heartbeat requests one."""
 
     sender: str
     now_ms: int
@@ -154,23 +153,23 @@
 
 @message
 class RequestHeartbeat(Message):
-    """Ask peers for a beat."""
+    """Request a heartbeat from peers."""
 
     peers: tuple[str, ...]
 
 
 @message
 class ApplyDelta(Message):
-    """Take over news of targets that a beat brought."""
+    """Apply the changes of targets that a heartbeat carried."""
 
     delta: Delta
 
 
 class Scope(Enum):
-    """What a pull asks for.
+    """What a pull requests.
 
-    ``NEWER`` leaves targets out if none are newer; ``ALL`` also brings
-    those that vanished from the store, which a revision does not tell.
+    ``NEWER`` leaves targets out if none are newer.  ``ALL`` always includes
+    them, also those missing from the store, which a revision does not show.
     """
 
     ROUTES = 'routes'
@@ -180,7 +179,7 @@
 
 @message
 class Pull(Message):
-    """Get what a peer knows."""
+    """Get a snapshot from a peer."""
 
     peer: str
     scope: Scope
@@ -188,14 +187,14 @@
 
 @message
 class SetStoreReader(Message):
-    """Begin or end to read the store; ``reason`` says why."""
+    """Start or stop reading the store; ``reason`` says why."""
 
     is_reader: bool
     reason: str
 
     @property
     def is_fallback(self) -> bool:
-        """Tell whether another one reads it too, as far as is known."""
+        """Return whether another member should be reading the store."""
         return self.reason in FALLBACK_REASONS
 
 
@@ -207,14 +206,17 @@
 
 @define
 class DisseminationState:
-    """Place in the tree, freshness, and the news of late.
-
-    ``confirmed_ms`` is when the store last confirmed what is held, as
-    told by beats; ``read_ms`` the same of our own calls, by feed.
-    ``pulled_from`` names the peers from which knowledge is under way.
-    ``process_ms`` is when the process began, some time before this state,
-    and ``stale_peer_ms`` when a peer last told that it has no fresher knowledge
-    either: then all have started of late.
+    """Place in the relay tree, freshness of the data, and recent changes.
+
+    ``order`` lists the members of the domain in the order of the relay tree,
+    ``remote`` some members of other domains.  ``jitter`` is a share from 0
+    to 1 that differs by member.  ``last_received_ms`` is when a heartbeat was
+    last received, ``confirmed_ms`` when the store last confirmed the data
+    according to heartbeats, ``read_ms`` the same according to own calls, by
+    feed.  ``pulled_from`` holds the peers of the pulls in progress.
+    ``process_ms`` is when the process started, some time before this state,
+    and ``stale_peer_ms`` when a heartbeat last showed that a peer's data is
+    stale too, as after a common start.
     """
 
     name: str
@@ -243,18 +245,18 @@
 
     @property
     def is_root(self) -> bool:
-        """Tell whether this one reads the store for its domain."""
+        """Return whether this member is the root of the relay tree."""
         return not self.order or self.order[0] == self.name
 
     def children(self) -> tuple[str, ...]:
-        """Return the members that get beats from this one."""
+        """Return the children of this member in the relay tree."""
         if self.name not in self.order:
             return ()
         first = self.order.index(self.name) * FANOUT + 1
         return self.order[first : first + FANOUT]
 
     def last_confirmed_ms(self) -> int:
-        """Return when the store last confirmed what is held here."""
+        """Return when the store last confirmed the data held here."""
         own_ms = min(self.read_ms.get(feed, NEVER_MS) for feed in self.feeds)
         return max(self.confirmed_ms, own_ms)
 
@@ -292,7 +294,7 @@
 
 def _update_revisions(state, event):
     if event.targets_revision > state.targets_revision:
-        # The changes held do not lead to what was just taken over whole.
+        # The recorded changes do not lead to the snapshot just applied.
         state.changes.clear()
     state.targets_revision = event.targets_revision
     state.routes_revision = event.routes_revision
@@ -301,13 +303,13 @@
     is_newer = event.routes_version > state.routes_version
     state.routes_version = event.routes_version
     if is_newer:
-        # Children pull a new configuration as soon as they hear of it.
+        # Children pull a new configuration once a heartbeat announces it.
         state.next_send_ms = 0
     return []
 
 
 def _apply_evacuated(state, update):
-    """Note which domains are evacuated; children hear of a change at once."""
+    """Update the evacuated domains; send a heartbeat at once if changed."""
     if evacuations.decide(state.evacuations, update):
         state.next_send_ms = 0
 
@@ -316,7 +318,7 @@
     update = event.update
     may_lag = isinstance(update, Listing) and update.may_lag
     if not may_lag:
-        # What took long to arrive is as old as its beginning.
+        # The answer is as old as its first byte.
         state.read_ms[event.feed] = event.now_ms - update.age_ms
     if event.feed == TARGETS:
         if isinstance(update, Delta):
@@ -389,7 +391,7 @@
 
 
 def _find_target(state, now_ms):
-    """Look for a target where news of it come first."""
+    """Look for an unknown target where changes arrive first."""
     if not state.is_reader and state.order:
         return _pull(state, state.order[0], now_ms, Scope.ALL)
     if now_ms < state.next_pull_ms:
@@ -420,14 +422,14 @@
 
 
 def _request_heartbeat(state, now_ms):
-    """Ask peers for a beat before the store has to be read."""
+    """Request a heartbeat before the store has to be read."""
     last_received_ms = max(state.last_received_ms, state.started_ms)
     known_ms = max(state.last_confirmed_ms(), state.started_ms)
     is_silent = (
         not state.is_root and now_ms - last_received_ms > REQUEST_AFTER_MS
     )
     is_old = now_ms - known_ms > state.times.stale_ms - REQUEST_MARGIN_MS
-    # What a newcomer read at first may lag; others mostly know better.
+    # A first list may lag; peers mostly hold fresher data.
     is_unconfirmed = state.last_confirmed_ms() < state.process_ms
     is_needed = is_silent or is_old or is_unconfirmed
     if not is_needed or now_ms < state.next_request_ms:
@@ -441,22 +443,22 @@
 
 
 def _choose_peers(state):
-    """Return the parent, another member of the domain, and one of another.
+    """Return the parent, another local member and a remote one.
 
-    The parent may not know of its child, the domain may have lost its way to
-    the store; the others change with each question.
+    The parent may not know this child, and the domain may have lost its path
+    to the store.  The other two change with each request.
     """
     peers = []
     parent = find_parent(state.order, state.name)
     if parent is not None:
         peers.append(parent)
     if state.name in state.order and len(state.order) > 1:
-        place = state.order.index(state.name)
-        turn = 1 + state.requests_sent % (len(state.order) - 1)
-        peers.append(state.order[(place + turn) % len(state.order)])
+        index = state.order.index(state.name)
+        offset = 1 + state.requests_sent % (len(state.order) - 1)
+        peers.append(state.order[(index + offset) % len(state.order)])
     if state.remote:
-        turn = round(state.jitter * len(state.remote)) + state.requests_sent
-        peers.append(state.remote[turn % len(state.remote)])
+        index = round(state.jitter * len(state.remote)) + state.requests_sent
+        peers.append(state.remote[index % len(state.remote)])
     return tuple(dict.fromkeys(peers))
 
 
@@ -482,10 +484,10 @@
     if state.is_root:
         return True, 'root'
     if not has_all and now_ms - state.last_received_ms > state.times.silent_ms:
-        # Who hears beats is fed as soon as the root knows.
+        # A member that receives heartbeats gets the data from the root.
         return True, 'nothing known'
     if is_new:
-        # The others may still be learning who is there.
+        # Other members may not know the membership yet.
         return False, 'started of late'
     pause_ms = state.jitter * READ_JITTER_MS
     if now_ms - state.last_received_ms > state.times.silent_ms + pause_ms:
@@ -502,10 +504,10 @@
 
 
 def _is_confirmation_overdue(state, now_ms):
-    """Tell whether a newcomer serves too long by what it read at first.
+    """Return whether a starting member has served its first lists too long.
 
-    Those lists may lag by seconds, and a start takes seconds on a small
-    instance, whose bounds hold from a fixed time after it was started on.
+    They may lag by seconds, and a slow start uses up much of the time within
+    which a change has to be in force.
     """
     if state.last_confirmed_ms() >= state.process_ms:
         return False
@@ -513,17 +515,20 @@
         return False
     age_ms = now_ms - state.process_ms
     if state.is_reader:
-        # The call that proves it is under way.
+        # The call that confirms them is in progress.
         return age_ms > RECHECK_DEADLINE_MS
     if state.requests_sent < REQUESTS_BEFORE_READ:
-        # Those that it asks may know better.
+        # The peers asked may hold fresher data.
         return False
     limit_ms = state.times.stale_ms - READ_MARGIN_MS
     return age_ms > limit_ms + state.jitter * READ_JITTER_MS
 
 
 def make_heartbeat(state: DisseminationState, now_ms: int) -> Heartbeat:
-    """Return the beat to send now, with the changes of late."""
+    """Return the heartbeat to send now, with the recent changes.
+
+    Changes older than CHANGE_RETENTION_MS are dropped from the state.
+    """
     state.changes = [
         one
         for one in state.changes
@@ -531,7 +536,7 @@
     ]
     base, written, removed = _merge(state.changes)
     if len(written) + len(removed) > MAX_CHANGES:
-        # Too much for a datagram: whoever is behind gets all of it.
+        # Too much for a datagram: members that are behind pull a snapshot.
         base, written, removed = None, (), ()
     return Heartbeat(
         sender=state.name,
@@ -547,7 +552,7 @@
 
 
 def _merge(changes):
-    """Return one change that leads from the first base to the last."""
+    """Return base, entries written and names removed of all changes."""
     base = None
     latest = {}
     for one in changes:
--- a/src/liftmount/_internal/decisions/evacuations.py
+++ b/src/liftmount/_internal/decisions/evacuations.py
@@ -1,8 +1,8 @@
-"""Which failure domains are evacuated: their targets get nothing further.
+"""Evacuated failure domains, whose targets get no new flows.
 
-An operator evacuates a domain before its targets are taken away, and takes
-it back later.  What is known is the whole set as of a revision of the store,
-so that the newer of two is right whoever tells it.
+An operator evacuates a domain before its targets are removed, and returns it
+to service later.  The state is the whole set as of a revision of the store,
+so the newer of two sets holds, from the store or a peer.
 """
 
 from attrs import define
@@ -16,7 +16,7 @@
 
 @message
 class EvacuationsChanged(Message):
-    """Other failure domains are evacuated now than before."""
+    """The set of evacuated failure domains has changed to ``domains``."""
 
     domains: frozenset[str]
     evacuated: frozenset[str]
@@ -25,26 +25,26 @@
 
 @define
 class EvacuationState:
-    """What is known; None until somebody has told."""
+    """The evacuated domains; ``known`` is None before the first update."""
 
     known: Evacuated | None = None
 
     @property
     def revision(self) -> int:
-        """Return as of when it is known."""
+        """Return the revision of the set, 0 before the first update."""
         return self.known.revision if self.known else 0
 
 
 def decide(
     state: EvacuationState, update: Listing | Delta | Evacuated
 ) -> list:
-    """Return an EvacuationsChanged if other domains are evacuated now.
+    """Return an EvacuationsChanged if the set has changed.
 
     The items of a Listing and of a Delta are names of failure domains.
     """
     before = state.known
     if before is not None and update.revision <= before.revision:
-        # Peers and lists that lag must not take anything back.
+        # Peers and lists that lag must not revert anything.
         return []
     known = before.domains if before else frozenset()
     domains = _domains_after(known, update)
@@ -62,4 +62,4 @@
             return frozenset(items)
         case Delta(written, removed):
             return (known | set(written)) - set(removed)
-    raise TypeError(f'unknown news {update!r}')
+    raise TypeError(f'unknown update {update!r}')
--- a/src/liftmount/_internal/decisions/freshness.py
+++ b/src/liftmount/_internal/decisions/freshness.py
@@ -1,13 +1,12 @@
-"""Which kinds of objects an answer of the store about another kind proves.
+"""Freshness of feeds that is confirmed by answers about another feed.
 
-One counter of the store rises with every change of any kind.  When each
-number up to an answer is that of a change already seen, nothing else has
-changed: the answer proves all kinds fresh, and not only its own.  So one
-kind is asked often enough for proofs, and the others wait long for news.
-Where numbers are missing, nothing is confirmed, and each kind is asked.
+The store has one revision counter for changes of all kinds.  If each
+revision up to that of an answer belongs to a change already received, no
+other feed has changed, and the answer confirms all of them.  So the primary
+feed is watched often, and the dependent feeds wait long for changes.  If a
+revision is missing, nothing is confirmed and the dependent feed is asked.
 
-Load pattern: a fleet in which little changes, where proofs of freshness
-are most calls to the store.
+This saves calls to the store while few objects change.
 """
 
 from attrs import define
@@ -22,21 +21,18 @@
 from liftmount._internal.models.records import message
 from liftmount._internal.models.records import Tick
 
-# Answers on two connections overtake each other by some milliseconds, by
-# tens on a busy balancer; a change may wait for no longer than its bound.
+# Time for a missing revision to arrive on the connection of its own feed.
 CONFIRM_TIMEOUT_MS = 150
-# The kind whose own answers prove it: targets change most often, so that
-# answers about them come anyway.
+# Targets change most often, so they need most answers anyway.
 PRIMARY_FEED = TARGETS
 DEPENDENT_FEEDS = (ROUTES, EVACUATIONS)
-# Changes kept while one kind is not answered for; beyond it that kind is
-# asked, which costs one call.
+# Beyond it the revisions are dropped, and dependent feeds are asked.
 MAX_TRACKED_REVISIONS = 4_096
 
 
 @message
 class Answered(Message):
-    """The store answered about a feed."""
+    """The store answered a call about ``feed``."""
 
     feed: str
     update: Listing | Delta
@@ -45,12 +41,12 @@
 
 @message
 class ReadingStarted(Message):
-    """All feeds ask anew, and the others rely on the prover from now on."""
+    """All feeds are read again; dependent feeds rely on the primary one."""
 
 
 @message
 class Confirm(Message):
-    """A feed is known as of ``delta.revision``, which changes nothing."""
+    """A feed is confirmed up to ``delta.revision``; the delta is empty."""
 
     feed: str
     delta: Delta
@@ -58,19 +54,19 @@
 
 @message
 class Ask(Message):
-    """No answer confirmed a feed in time: it has to be asked itself."""
+    """A feed was not confirmed in time and has to be read itself."""
 
     feed: str
 
 
 @define
 class FreshnessState:
-    """What is known of the changes of late.
+    """Revisions of the feeds, and recent changes.
 
-    ``known`` maps feeds to the revision as of which they are known,
-    ``changes`` revisions to the feed that changed then.  ``dependent`` are the
-    feeds that rely on the answers of others; ``unconfirmed_since_ms`` tells since when an
-    answer has not confirmed one.
+    ``known`` maps feeds to the revision up to which they are held,
+    ``changes`` maps revisions to the feed that changed.  ``dependent`` holds
+    the feeds that rely on the primary one, ``unconfirmed_since_ms`` the time
+    since which the answers of the primary feed have not confirmed a feed.
     """
 
     known: dict[str, int] = Factory(dict)
@@ -80,7 +76,7 @@
 
 
 def decide(state: FreshnessState, event) -> list:
-    """Return the Confirm and Ask that follow from an event."""
+    """Return the Confirm and Ask actions for an event."""
     match event:
         case Answered():
             return _on_answer(state, event)
@@ -96,10 +92,9 @@
 
 
 def count_affected_feeds(state: FreshnessState, feed: str) -> int:
-    """Return for how many feeds a failed call of one speaks.
+    """Return how many feeds a failed call of ``feed`` affects.
 
-    Whoever relies on the prover makes no calls of its own by which it would
-    notice that the store is out of reach.
+    A dependent feed makes no calls of its own that would fail as well.
     """
     return 1 + len(state.dependent) if feed == PRIMARY_FEED else 1
 
@@ -139,9 +134,9 @@
 
 
 def _is_unchanged(state, feed, known, revision):
-    """Tell whether all since a feed was known were changes of others."""
+    """Return whether all changes since ``known`` belong to other feeds."""
     since = range(known + 1, revision + 1)
-    # Its own change is told by its own answer, which is still to come.
+    # A missing revision may be a change of the feed itself.
     return all(state.changes.get(one, feed) != feed for one in since)
 
 
--- a/src/liftmount/_internal/decisions/list_watch.py
+++ b/src/liftmount/_internal/decisions/list_watch.py
@@ -1,13 +1,13 @@
-"""How one kind of object in the store is followed: lists and watches.
+"""List and watch one kind of object in the store.
 
-A list gives the first picture; watches from its revision on tell what
-changes.  Each call costs, an answered watch too, so changes are collected
-for a moment before the next watch.  No answer is never taken for "nothing
-has changed": the same watch is asked again.
+A list returns all objects; watches from its revision on return changes.
+Each call has a cost, so changes are batched for a moment before the next
+watch.  A watch without an answer does not mean that nothing has changed: it
+is repeated.
 
-Proofs of freshness are most calls of a fleet in which nothing happens, so
-they come as seldom as the time allows in which a change has to be in force
-on every balancer.
+While nothing changes, watches only confirm that the data is fresh.  They
+wait as long as the propagation bound permits: the time within which a
+change has to be in force on every balancer.
 """
 
 from attrs import define
@@ -16,66 +16,58 @@
 from liftmount._internal.models.records import Message
 from liftmount._internal.models.records import message
 
-# The shortest and the longest time from a change to when it has to be in
-# force that is told apart.
+# Range of the propagation bound; others are clamped to it.
 MIN_BOUND_MS = 3_000
 MAX_BOUND_MS = 15_000
-# What is left of the bound when a member that hears old beats begins to read
-# the store itself: beginning is spread over 0.4 s, and a call takes 0.3 s
-# when the store is slow.
+# What is left of the bound when a member with stale data begins to read the
+# store itself: covers the jitter of that and one slow call.
 READ_MARGIN_MS = 1_000
-# A reader's watch proves freshness when it ends; its answer may be 700 ms
-# late, and a beat takes up to 400 ms to get to each level of the tree.
+# A watch of the reader confirms the data when it ends; covers a late answer
+# (WATCH_MARGIN_MS) and heartbeats down two levels of the relay tree.
 CONFIRM_MARGIN_MS = 1_500
-# Reading by oneself ends only when beats are clearly fresher.
+# A member stops reading the store once heartbeats are this much fresher than
+# the limit.
 FRESH_MARGIN_MS = 600
 MIN_STALE_MS = 4_300
-# Three beats in a row are missing: the parent is gone, or the way to it.
+# Three heartbeats in a row are missing: the parent is gone or unreachable.
 MIN_SILENT_MS = 1_300
 SILENT_SHARE = 1 / 3
-# A change that comes soon after another one waits for the next watch.
+# Share of the bound for which changes are batched after a change.
 COLLECT_SHARE = 7 / 30
-# The first watch after a pause or a failure asks for what is known by now.
+# Wait of a watch that is to be answered at once.
 IMMEDIATE_WAIT_MS = 1
-# No watch is shorter, however long the last answer took to arrive: on a slow
-# link calls would follow each other without a pause.
+# Keeps calls apart on a slow link, however long the last answer took.
 MIN_WATCH_MS = 500
-# A watch from an old revision brings each version since.  Where each holds
-# all that a list does, a list up to this size is had sooner: in 0.13 s over
-# a link of 2 Mbit/s.
+# A watch from an old revision returns each version since.  Where each version
+# holds everything, a list up to this size takes less time.
 SHORT_LIST_BYTES = 32_768
-# How long a watch waits whose freshness other answers prove; the store keeps
-# its history for longer than that.
+# Wait of a watch whose feed is confirmed by answers about another one; the
+# store keeps its history for longer.
 DEPENDENT_WATCH_MS = 15_000
-# How much later than its wait the answer of a watch may come.
+# Time for the answer of a watch to arrive after its wait.
 WATCH_MARGIN_MS = 700
-# How soon a page of a list has to begin to arrive: it does in 4 ms when the
-# store is well, and in 80 times as long when it is slow.
+# Time in which a page of a list has to begin to arrive.
 LIST_TIMEOUT_MS = 1_000
-# Waits after failed calls; each call costs, also a refused one.  The
-# longest one, half as long again for some, lies well within the 4,000 ms
-# after the store's return in which an instance is not yet held to its bounds.
+# Pauses after failed calls, doubled up to the maximum and scaled by 0.5 to 1.5
+# for jitter.
 FIRST_RETRY_MS = 200
 MAX_RETRY_MS = 1_500
-# A balancer that starts has read the lists; by then it mostly knows who of
-# its domain reads the store for all, and need not watch itself.  Who does
-# is answered at once, or all members would begin to read before its first
-# proof.
+# Pause between a first list and the watch that confirms it.  By then most
+# starting balancers have found the reader of their domain and need no watch.
 RECHECK_MS = 2_000
-# How long after the start of its process a balancer proves at the latest what
-# it read at first: on a small instance, where all takes longer, RECHECK_MS
-# would end as late as its bounds begin to hold.
+# Time after the start of the process by which a first list is confirmed; it
+# shortens RECHECK_MS on a slow instance.
 RECHECK_DEADLINE_MS = 2_600
 
 
 @message
 class FreshnessTimes(Message):
-    """Limits in milliseconds.
+    """Limits in milliseconds that follow from the propagation bound.
 
     A watch waits for ``watch_ms``; after a change the next one begins
-    ``collect_ms`` later.  A member reads the store itself when it has heard
-    no beat for ``silent_ms``, or only knowledge older than ``stale_ms``,
-    until beats bring knowledge no older than ``fresh_ms``.
+    ``collect_ms`` later.  A member reads the store itself when it has
+    received no heartbeat for ``silent_ms``, or when its data is older than
+    ``stale_ms``, until the data of heartbeats is no older than ``fresh_ms``.
     """
 
     watch_ms: int
@@ -86,7 +78,7 @@
 
 
 def freshness_times(bound_ms: int = MIN_BOUND_MS) -> FreshnessTimes:
-    """Return the limits for a time from a change to its being in force."""
+    """Return the limits for a propagation bound."""
     bound_ms = min(max(bound_ms, MIN_BOUND_MS), MAX_BOUND_MS)
     stale_ms = max(MIN_STALE_MS, bound_ms - READ_MARGIN_MS)
     return FreshnessTimes(
@@ -100,19 +92,19 @@
 
 @message
 class Started(Message):
-    """Begin to follow."""
+    """The feed starts without a list."""
 
 
 @message
 class ListInProgress(Message):
-    """A list was asked for before, and is still under way."""
+    """The feed starts while a list is being received."""
 
 
 @message
 class ListKnown(Message):
-    """A list as of ``revision`` was read before, or a peer told it.
+    """All objects as of ``revision`` are held, from a list or a peer.
 
-    ``size_bytes`` is what the list took, 0 if a peer told it.
+    ``size_bytes`` is the size of the list, 0 if a peer sent the objects.
     """
 
     revision: int
@@ -121,7 +113,7 @@
 
 @message
 class Finished(Message):
-    """The list that was begun before is there, as of ``revision``."""
+    """The list in progress was received, as of ``revision``."""
 
     revision: int
     size_bytes: int = 0
@@ -139,7 +131,7 @@
 class Changed(Message):
     """A watch was answered; ``count`` objects changed up to ``revision``.
 
-    The answer took ``lasted_ms`` to arrive.
+    The transfer of the answer took ``lasted_ms``.
     """
 
     revision: int
@@ -149,21 +141,21 @@
 
 @message
 class HistoryGone(Message):
-    """The store no longer tells what changed since the revision."""
+    """The store no longer holds the changes since the revision."""
 
 
 @message
 class Paused(Message):
-    """Somebody else follows the store for us from now on."""
+    """Another member reads the store from now on."""
 
 
 @message
 class Resumed(Message):
-    """Follow the store again; what is known is as of ``revision``.
+    """Read the store again; the objects held are as of ``revision``.
 
-    ``revision`` is None when nothing is known yet.  ``is_fallback`` tells
-    that another one should follow it, but brings nothing, ``is_dependent``
-    that answers about other kinds will prove it fresh.
+    ``revision`` is None when there are none yet.  ``is_fallback`` is true
+    if another member should be reading the store but sends no fresh data,
+    ``is_dependent`` if answers about the primary feed confirm this one.
     """
 
     revision: int | None
@@ -173,36 +165,39 @@
 
 @message
 class RefreshRequested(Message):
-    """Somebody waits for news: don't wait for more to collect."""
+    """Changes are needed now: call the store without a pause."""
 
 
 @message
 class Confirmed(Message):
-    """Other answers prove that nothing changed up to ``revision``."""
+    """Answers about another feed show no change up to ``revision``."""
 
     revision: int
 
 
 @message
 class CallFailed(Message):
-    """A call got no usable answer; ``cause`` says how it failed."""
+    """A call got no usable answer; ``cause`` says why."""
 
     cause: str
 
 
 @message
 class Cancel(Message):
-    """Give up the call that is planned or under way."""
+    """Cancel the call that is scheduled or in progress."""
 
 
 @message
 class Finish(Message):
-    """Receive the rest of the list that is under way."""
+    """Receive the rest of the list in progress."""
 
 
 @message
 class List(Message):
-    """List all objects after a pause; a lagging answer is good enough."""
+    """List all objects after a pause.
+
+    If ``may_lag``, the answer may come from a replica that lags.
+    """
 
     after_ms: float
     may_lag: bool
@@ -210,7 +205,7 @@
 
 @message
 class Watch(Message):
-    """Ask after a pause for what changed since ``revision``."""
+    """Ask, after a pause, for the changes since ``revision``."""
 
     after_ms: float
     revision: int
@@ -219,33 +214,34 @@
 
 @message
 class DependencyLost(Message):
-    """The store cannot be read any more."""
+    """Calls to the store have begun to fail."""
 
     cause: str
 
 
 @message
 class DependencyRegained(Message):
-    """The store can be read again, after some calls failed."""
+    """The store answers again, after a number of failed calls."""
 
     failures: int
 
 
 def recheck_ms(process_age_ms: int) -> int:
-    """Return how long a balancer waits before it proves its first lists."""
+    """Return how long a balancer waits before it confirms a first list."""
     return min(RECHECK_MS, max(0, RECHECK_DEADLINE_MS - process_age_ms))
 
 
 @define
 class ListWatchState:
-    """``revision`` is None before the first list.
-
-    ``is_calling`` tells whether a call is planned or under way, and
-    ``is_paused`` whether somebody else follows the store.  While it
-    ``is_dependent``, answers about other kinds prove it fresh.  ``recheck_ms``
-    is how long after a first list it is proven.  Of a kind
-    ``is_one_object``, each change tells the whole list anew, which took
-    ``list_bytes`` when it was read last, 0 if that is not known.
+    """State of the feed of one kind of object.
+
+    ``revision`` is None before the first list.  ``is_calling`` is true while
+    a call is scheduled or in progress, ``is_paused`` while another member
+    reads the store, and ``is_dependent`` while answers about the primary
+    feed confirm this one.  ``recheck_ms`` is the pause before a first list
+    is confirmed, ``jitter`` a share from 0 to 1 that differs by member.  If
+    ``is_one_object``, each change carries the whole contents;
+    ``list_bytes`` is the size of the last list, 0 if unknown.
     """
 
     revision: int | None = None
@@ -263,7 +259,7 @@
 
 
 def decide(state: ListWatchState, event) -> list:
-    """Return what to report, and the next call to the store, last."""
+    """Return reports, then Cancel and the next call to the store, if any."""
     match event:
         case Paused():
             return _pause(state)
@@ -280,7 +276,7 @@
 
 
 def _schedule(state, call):
-    """Make a call, unless somebody else follows the store."""
+    """Return the call, or nothing while paused."""
     state.is_calling = not state.is_paused
     return [call] if state.is_calling else []
 
@@ -289,8 +285,8 @@
     state.is_paused = True
     state.is_dependent = False
     if _is_first_list_pending(state):
-        # Those who read for us may have nothing yet, and what has arrived
-        # would be lost.
+        # Those that read the store may have no data yet, and what has been
+        # received of the list would be lost.
         return []
     state.is_calling = False
     return [Cancel()]
@@ -321,7 +317,7 @@
     state.revision = max(state.revision, revision)
     state.is_dependent = True
     if not state.failures:
-        # The watch that waits goes on, and hears of news at once.
+        # The watch in progress continues, and returns changes at once.
         return []
     reports = _report_regained(state)
     return [*reports, Cancel(), *_schedule(state, _watch(state, 0))]
@@ -329,8 +325,8 @@
 
 def _refresh(state):
     if state.is_paused or (state.must_list and state.is_calling):
-        # The list under way tells it all.  ListInProgress anew whenever a segment
-        # waits for a target, it would never end on a slow link.
+        # The list in progress brings the same; restarting it for each waiting
+        # segment would keep it from ending on a slow link.
         return []
     return _call_now(state)
 
@@ -345,14 +341,14 @@
 
 
 def _catch_up(state, pause_ms):
-    """Return a call that is answered at once, and shows that all is known."""
+    """Return a call that is answered at once and confirms the data."""
     if state.is_one_object and 0 < state.list_bytes <= SHORT_LIST_BYTES:
         return List(pause_ms, may_lag=False)
     return Watch(pause_ms, state.revision, IMMEDIATE_WAIT_MS)
 
 
 def _skip_list(state, event):
-    """Take over that a list is known, in place of one under way."""
+    """Use the objects held already in place of a list in progress."""
     if state.revision is not None:
         return []
     state.list_bytes = event.size_bytes
@@ -366,7 +362,7 @@
 
 
 def _on_call_end(state, event):
-    """Return what to report of a call's end, and what to call next."""
+    """Return reports on the end of a call, and the next call."""
     match event:
         case Started():
             return [List(0, may_lag=True)]
@@ -381,10 +377,10 @@
             state.list_bytes = event.size_bytes
             state.must_list = False
             is_first = state.revision is None
-            # A list that lags must not bring changes back that are known.
+            # A list that lags must not revert to an older revision.
             state.revision = max(state.revision or 0, event.revision)
             if is_first:
-                # It may have lagged, and proves nothing before a watch does.
+                # It may have lagged: only a watch confirms it.
                 return [*actions, Watch(0, state.revision, IMMEDIATE_WAIT_MS)]
             return [*actions, _watch(state, 0)]
         case Changed():
@@ -401,15 +397,15 @@
 
 
 def _watch(state, pause_ms, lasted_ms=0):
-    """Return a watch that ends a fixed time after the last proof.
+    """Return a watch that ends ``watch_ms`` after the last confirmation.
 
-    The proof is as old as the beginning of the last answer.  With a whole
-    wait after the pause there would be no proof for so long after a change
-    that all members of a domain began to read the store.
+    The last answer confirmed the data as of its first byte, ``lasted_ms``
+    ago.  A full wait after the pause would let the data of the whole domain
+    become stale after a change.
     """
     left_ms = state.times.watch_ms - pause_ms - lasted_ms
-    # A change hidden by a connection that fell silent is found after the
-    # wait and the margin, while no instance is held to its bounds yet.
+    # If the connection fails silently, a change is found after this wait and
+    # WATCH_MARGIN_MS.
     wait_ms = max(MIN_WATCH_MS, left_ms)
     if state.is_dependent:
         wait_ms = DEPENDENT_WATCH_MS
@@ -427,16 +423,16 @@
     state.failures += 1
     first_ms = FIRST_RETRY_MS
     if state.is_fallback and state.revision is not None:
-        # The store is away for all, or this balancer alone is cut off.
+        # The store is down for all members, or this balancer is cut off.
         first_ms = MAX_RETRY_MS
     doubled_ms = first_ms * 2 ** min(state.failures - 1, 10)
     pause_ms = min(doubled_ms, MAX_RETRY_MS) * (0.5 + state.jitter)
     if state.is_dependent:
-        # The kind that is asked for proofs tells when the store is back.
+        # The primary feed notices when the store is back.
         pause_ms = state.times.watch_ms
-    lost = [DependencyLost(cause)] if state.failures == 1 else []
+    reports = [DependencyLost(cause)] if state.failures == 1 else []
     if state.must_list:
-        return [*lost, List(pause_ms, may_lag=state.revision is None)]
-    # Answered at once it proves that nothing was missed.  Else members would
-    # hold what they know for stale and read the store themselves.
-    return [*lost, _catch_up(state, pause_ms)]
+        return [*reports, List(pause_ms, may_lag=state.revision is None)]
+    # An answer at once confirms the data; otherwise it would become stale and
+    # other members would read the store themselves.
+    return [*reports, _catch_up(state, pause_ms)]
--- a/src/liftmount/_internal/decisions/membership.py
+++ b/src/liftmount/_internal/decisions/membership.py
@@ -1,12 +1,12 @@
-"""Membership: a failure detector with gossip, after SWIM.
+"""Membership: failure detection and gossip after SWIM.
 
-Each period a member probes one other; without an answer it asks two more
-to probe, then suspects, then declares dead.  Changes ride on probes and
-answers (Das, Gupta and Motivala, "SWIM", DSN 2002).  The cost for a
-member does not grow with the group; only changes are told.
+Each period a member pings one other.  Without an answer it requests
+indirect pings from two more, then suspects the member, then declares it
+dead.  Changes are piggybacked on pings and answers (Das, Gupta and Motivala,
+"SWIM", DSN 2002), so that the cost for a member does not grow with the group.
 
-All messages are lists ``[kind, sequence, sender, incarnation, digest,
-updates, extra]``.  The sender keeps a budget of bytes.
+Messages are lists ``[kind, sequence, sender, incarnation, digest, updates,
+extra]``.  Updates are left out when the sender's byte budget is spent.
 """
 
 from hashlib import blake2b
@@ -36,18 +36,18 @@
 UPDATES_PER_MESSAGE = 6
 UPDATES_FOR_JOINING = 10
 RETRANSMIT_FACTOR = 3
-# A dead member is probed now and then, so that healed cuts are noticed.
+# Dead members are probed every few periods, to notice healed partitions.
 DEAD_PROBE_PERIODS = 4
 DEAD_KEPT_MS = 600_000
 DATAGRAM_OVERHEAD_BYTES = 28
 MAX_RELAYED = 64
-# What a probe says whose sender knows nobody yet.
+# ``extra`` of a ping whose sender has no members yet.
 JOIN = 'join'
 
 
 @frozen
 class MembershipTimes:
-    """Times of the detector in milliseconds, and the byte budget."""
+    """Times of the failure detector, and the byte budget."""
 
     period_ms: int = 500
     probe_timeout_ms: int = 150
@@ -57,7 +57,7 @@
 
 @frozen
 class MessageArrived:
-    """A membership message from a peer, as decoded from CBOR."""
+    """A membership message of a peer, as decoded from CBOR."""
 
     message: list
     source: Endpoint
@@ -74,21 +74,21 @@
 
 @frozen
 class MemberChanged:
-    """What is known of a member has changed."""
+    """The record of a member has changed."""
 
     member: Member
 
 
 @frozen
 class DigestDiffers:
-    """A live member holds another configuration than this one."""
+    """A reachable member holds another configuration than this one."""
 
     member: Member
 
 
 @frozen
 class BudgetSpent:
-    """Gossip was held back to keep within the byte budget."""
+    """Updates were left out of a message: the byte budget is spent."""
 
 
 @define
@@ -100,12 +100,14 @@
 
 @define
 class MembershipState:
-    """What one balancer knows of the group.
-
-    ``digest`` is that of its configuration; it is compared with each
-    peer's.  ``random_seed`` makes the order of probes differ by member.
-    ``doubtful`` names the members that are not alive: only they need a
-    look at each tick.
+    """The group as one balancer sees it.
+
+    ``digest`` is that of its configuration, to compare with those of peers.
+    ``doubtful`` holds the names of members that are not alive, which each
+    tick checks; ``gossip`` maps names to the number of messages that are
+    still to carry their records.  ``relayed`` maps the sequence of an
+    indirect ping to its requester and the requester's sequence.
+    ``random_seed`` makes the order of probes differ by member.
     """
 
     own: Member
@@ -137,7 +139,7 @@
 
 
 def make_membership(own, times, seeds, now_ms) -> MembershipState:
-    """Return the state of a member that knows only its seeds."""
+    """Return the state of a member that has only its seeds."""
     digest = blake2b(own.name.encode(), digest_size=6).digest()
     return MembershipState(
         own=own,
@@ -160,17 +162,17 @@
 
 
 def announce(state: MembershipState, **changes) -> None:
-    """Tell the group something new of this member."""
+    """Change this member's own record and gossip it."""
     version = state.own.version + 1
     state.own = changed(state.own, version=version, **changes)
     _queue_gossip(state, state.own.name)
 
 
 def learn_all(state: MembershipState, members, now_ms: int) -> list:
-    """Take over the whole group as a member knows it.
+    """Apply a list of records; return the actions.
 
-    The records are not told on: whoever starts at the same time gets them
-    the same way, and gossip of all of them would spend the budget.
+    They are not gossiped further: other starting members fetch lists too, and
+    gossip of all records would spend the byte budget.
     """
     actions = []
     for member in members:
@@ -182,7 +184,7 @@
 
 
 def learn(state: MembershipState, member: Member, now_ms: int) -> list:
-    """Take over a record if it is newer than what is known."""
+    """Apply a record if it is newer than the one held; return actions."""
     if member.name == state.own.name:
         return _refute(state, member)
     known = state.members.get(member.name)
@@ -199,9 +201,9 @@
 
 
 def _refute(state, member):
-    """Refute what others wrongly say of this member."""
+    """Refute a wrong record of this member by a newer version."""
     if member.incarnation > state.own.incarnation:
-        # An earlier process of this name, before its clock stepped back.
+        # From an earlier process of this name, whose clock was ahead.
         state.own = changed(state.own, incarnation=member.incarnation + 1)
         _queue_gossip(state, state.own.name)
         return []
@@ -250,7 +252,7 @@
 
 
 def _probe_unreachable(state):
-    """Probe a seed or a dead member that may have come back."""
+    """Ping a dead member or an unknown seed that may be back."""
     doubtful = [state.members[name] for name in sorted(state.doubtful)]
     candidates = [
         one.peer for one in doubtful if one.status is MemberStatus.DEAD
@@ -345,11 +347,11 @@
     now_ms = event.now_ms
     before = state.members.get(sender)
     is_joining = before is None or before.incarnation != incarnation
-    # A restarted member may have been met before it asks for the others.
+    # A restarted member may have been in contact before it asks for members.
     is_joining = is_joining or extra == JOIN
     actions = []
-    # An answer from a member that is thought dead must not be taken for
-    # life by itself: the member refutes what it is told of itself.
+    # A message of a dead member does not make it alive by itself: the member
+    # has to refute its record.
     for record in updates:
         actions += learn(state, parse_member(record), now_ms)
     known = state.members.get(sender)
@@ -380,7 +382,7 @@
     if is_joining:
         return _send(state, ACK, sequence, destination, is_joining=True)
     if not known.reachable:
-        # Let it hear what is said of it, so that it can refute.
+        # Send the member its own record, so that it can refute it.
         _queue_gossip(state, known.name)
     return _send(state, ACK, sequence, destination)
 
@@ -462,6 +464,6 @@
 
 
 def farewell(state: MembershipState, member: Member) -> list:
-    """Return a probe that tells ``member`` what is new, first of all."""
+    """Return a ping to ``member`` that carries this member's record first."""
     state.sequence += 1
     return _send(state, PING, state.sequence, member.peer, own_first=True)
--- a/src/liftmount/_internal/decisions/relay.py
+++ b/src/liftmount/_internal/decisions/relay.py
@@ -1,8 +1,8 @@
 """The relay tree of a failure domain.
 
-The root is the member that should hold the domain's lease.  It alone
-reads the platform; the others get changes from their parent.  The tree is
-worked out from membership alone, so no one has to agree on it.
+The root is the member that should hold the domain's lease.  Only the root
+reads the platform; other members get changes from their parent.  Each member
+derives the tree from the membership, without an agreement.
 """
 
 from attrs import define
@@ -16,10 +16,8 @@
 def relay_order(members: list[Member]) -> list[str]:
     """Return the members of one domain, the root first.
 
-    Those that reach the platform and do not leave come first; of these the
-    one that has run for longest.  By name alone each restart of an early
-    name took the root over: 382 in place of 350 calls to the store on a day
-    on which 40 % of 23 balancers were restarted in turn.
+    Members that reach the platform and are not leaving come first, the
+    longest running first, so that a restart seldom changes the root.
     """
     present = [one for one in members if one.reachable]
     return [
@@ -37,7 +35,7 @@
 
 
 def find_parent(order: list[str], name: str) -> str | None:
-    """Return the parent of a member, or None for the root."""
+    """Return the parent of a member; None for the root or an unknown one."""
     if name not in order:
         return None
     index = order.index(name)
@@ -58,11 +56,10 @@
 
 @define
 class SubtreeReports:
-    """Who holds which configuration, in the subtree below one member.
+    """Configuration digests in the subtree of one member, by member name.
 
-    Each child reports for its own subtree.  What a child says of this
-    member is out of date by nature, as after a change of the root, and is
-    ignored.
+    Each child reports for its own subtree.  A child's report on this member,
+    as after a change of the root, is out of date and ignored.
     """
 
     name: str
@@ -70,11 +67,11 @@
     _children: dict[str, dict[str, bytes]] = Factory(dict)
 
     def note_child(self, child: str, digests: dict[str, bytes]) -> None:
-        """Take over the report of a child."""
+        """Replace the report of a child."""
         self._children[child] = dict(digests)
 
     def drop_child(self, child: str) -> None:
-        """Forget the report of a child that is no longer one."""
+        """Drop the report of a former child."""
         self._children.pop(child, None)
 
     def combined(self) -> dict[str, bytes]:
@@ -82,7 +79,7 @@
         found = {}
         for digests in self._children.values():
             found.update(digests)
-        # A child knows itself best, whatever a sibling was told.
+        # A child's report on itself is newer than that of a sibling.
         for child, digests in self._children.items():
             if child in digests:
                 found[child] = digests[child]
--- a/src/liftmount/_internal/decisions/stall_reports.py
+++ b/src/liftmount/_internal/decisions/stall_reports.py
@@ -1,11 +1,12 @@
-"""What balancers tell each other of targets that give no answer.
-
-Each of many balancers sees a small part of a service.  If each had to find
-out for itself, a target that hangs would cost a request a balancer.  So a
-stall is told at once to a few members, who tell it on.  One balancer convinces
-nobody: its own link or processor may be at fault, or it may be wrong.  When
-several have seen a target stall it gets no new flows for a while, which grows
-while it goes on; then it is tried again.  Open flows stay where they are.
+"""Stall reports: outlier ejection of targets, agreed between balancers.
+
+Each balancer sees a small part of a service's requests; if each had to
+detect a stalled target by itself, the target would cost one request for
+each balancer.  So a stall is reported to a few members, which forward the
+report.  A single source is not enough, as its own link or processor may be
+at fault.  Once QUORUM sources have seen a target stall, it is ejected: it
+gets no new flows for a time that grows with repeated ejections.  Open flows
+stay where they are.
 """
 
 from zlib import crc32
@@ -18,21 +19,18 @@
 from liftmount._internal.models.records import message
 from liftmount._internal.models.records import Tick
 
-# Balancers that must have seen a target stall.
+# Sources that must have seen a target stall.
 QUORUM = 2
-# How long what one has seen counts, and is told on: a stall that is older
-# may be over.
+# Older reports are neither counted nor forwarded: the stall may be over.
 MAX_REPORT_AGE_MS = 1_500
-# For how long a target is held out at least, at first and at most; some
-# members hold it out for up to twice as long.  It doubles when the target
-# stalls again by REPEAT_WINDOW_MS after its return.
+# Ejection time, doubled up to the maximum when the target stalls again within
+# REPEAT_WINDOW_MS; each member extends it by up to the same time.
 FIRST_EJECTION_MS = 2_000
 MAX_EJECTION_MS = 8_000
 REPEAT_WINDOW_MS = 4_000
-# Members that each one tells: with four, all but some 2 % hear of it.
+# Members to which each member forwards a report.
 FANOUT = 4
-# Stalls that one member tells and passes on a second, at some 100 bytes to
-# each of FANOUT: within what control may cost.
+# Limit on the reports that a member sends, to FANOUT peers each.
 REPORTS_PER_S = 5
 MS_PER_S = 1_000
 CRC_MAX = 2**32 - 1
@@ -49,7 +47,7 @@
 
 @message
 class StallReportReceived(Message):
-    """A member told of a stall."""
+    """A stall report of a member, ``doubt``, was received."""
 
     doubt: StallReport
     now_ms: int
@@ -57,7 +55,7 @@
 
 @message
 class SendStallReport(Message):
-    """Tell some members of a stall."""
+    """Send a stall report, ``doubt``, to ``peers``."""
 
     doubt: StallReport
     peers: tuple[str, ...]
@@ -65,7 +63,10 @@
 
 @message
 class EjectTarget(Message):
-    """Give a target no new flows until then: ``sources`` saw it stall."""
+    """Give a target no new flows until ``until_ms``.
+
+    ``sources`` names the members that saw it stall.
+    """
 
     target: str
     until_ms: int
@@ -74,10 +75,12 @@
 
 @define
 class _Target:
-    """Who saw a target stall, and when; since and until when it is held out.
+    """Reports on a target, and its last ejection.
 
-    ``numbers`` are those of the last stalls that each source told, and
-    ``ejection_ms`` is the length of the last hold, 0 before the first one.
+    ``seen_ms`` maps sources to the time at which they saw it stall,
+    ``numbers`` to the number of their last report.  The target is ejected
+    from ``since_ms`` to ``until_ms``; ``ejection_ms`` is the base time of
+    that ejection, 0 before the first one.
     """
 
     seen_ms: dict[str, int] = Factory(dict)
@@ -89,10 +92,10 @@
 
 @define
 class StallReportState:
-    """What is known of targets that stall, on a member of some name.
+    """Stall reports received and sent by the member ``name``.
 
-    ``peers`` are the live members; ``turn`` makes those who are told differ.
-    ``told`` counts what was told of late, up to ``told_ms``.
+    ``peers`` names the live members; ``turn`` varies those chosen.  ``told``
+    counts the reports sent against the rate limit, as of ``told_ms``.
     """
 
     name: str
@@ -104,10 +107,10 @@
 
 
 def decide(state: StallReportState, event) -> list:
-    """Return whom to tell, and which targets to hold out."""
+    """Return the reports to send and the targets to eject."""
     match event:
         case StallSeen(target, waited_ms, now_ms):
-            # Its time is a number that grows.
+            # The time serves as the report's number, which has to grow.
             report = StallReport(target, state.name, waited_ms, 0, now_ms)
             return _record_report(state, report, now_ms)
         case StallReportReceived(report, now_ms):
@@ -124,10 +127,10 @@
     target = state.targets.setdefault(report.target, _Target())
     if report.age_ms > MAX_REPORT_AGE_MS:
         return []
-    # What began before a hold says nothing of the time after it.
+    # A request from before the ejection says nothing about the time after.
     if target.ejection_ms and seen_ms - report.waited_ms <= target.since_ms:
         return []
-    # What waited on its way must not pass for another stall.
+    # A delayed or repeated report must not count as another stall.
     if report.number <= target.numbers.get(report.source, -1):
         return []
     target.numbers[report.source] = report.number
@@ -135,12 +138,12 @@
     if known_ms is not None and seen_ms - known_ms < MAX_REPORT_AGE_MS:
         return []
     target.seen_ms[report.source] = seen_ms
-    told = _forward_report(state, report, now_ms)
-    return [*told, *_eject_if_confirmed(state, target, report, now_ms)]
+    actions = _forward_report(state, report, now_ms)
+    return [*actions, *_eject_if_confirmed(state, target, report, now_ms)]
 
 
 def _forward_report(state, report, now_ms):
-    """Tell a few members, unless too much was told of late."""
+    """Forward a report to a few peers, within the rate limit."""
     elapsed_ms = now_ms - state.told_ms
     state.told_ms = now_ms
     earned = elapsed_ms * REPORTS_PER_S / MS_PER_S
@@ -152,7 +155,7 @@
 
 
 def _choose_peers(state):
-    """Return some peers, other ones each time and on each member."""
+    """Return FANOUT peers that differ by member and by report."""
     state.turn += 1
     ranked = sorted(
         state.peers,
@@ -175,8 +178,8 @@
     doubled_ms = 2 * target.ejection_ms if is_again else FIRST_EJECTION_MS
     target.ejection_ms = min(doubled_ms, MAX_EJECTION_MS)
     target.since_ms = now_ms
-    # Members try it again one after the other: what the first ones see holds
-    # it out for all.
+    # Members use the target again one after the other, so that the first ones
+    # detect another stall for all.
     share = crc32(f'{state.name} {report.target}'.encode()) / CRC_MAX
     target.until_ms = now_ms + round(target.ejection_ms * (1 + share))
     target.seen_ms.clear()
@@ -184,7 +187,7 @@
 
 
 def _drop_expired(state, now_ms):
-    """Drop targets that nobody has doubted of late."""
+    """Drop targets without a recent report or ejection."""
     for name, one in list(state.targets.items()):
         newest_ms = max(one.seen_ms.values(), default=one.until_ms)
         if now_ms - max(newest_ms, one.until_ms) > REPEAT_WINDOW_MS:
--- a/src/liftmount/_internal/models/feeds.py
+++ b/src/liftmount/_internal/models/feeds.py
@@ -1,4 +1,4 @@
-"""Objects of a store, and what lists and watches tell of them."""
+"""Objects of the store, and the results of lists and watches."""
 
 from attrs import frozen
 
@@ -7,7 +7,7 @@
 from liftmount._internal.models.segments import RouteTable
 from liftmount._internal.models.segments import TargetEntry
 
-# The kinds of objects that are followed.
+# Feeds: the kinds of objects that are listed and watched.
 ROUTES = 'routes'
 TARGETS = 'targets'
 EVACUATIONS = 'evacuations'
@@ -36,9 +36,9 @@
 class Listing(Message):
     """All objects of a kind as of ``revision``.
 
-    ``age_ms`` is the time that passed since the store began to answer.  A
-    list that ``may_lag`` may have been seconds old then.  ``size_bytes`` is
-    what all pages of the answer took, 0 if that is not known.
+    ``age_ms`` is the time since the store began to answer.  A list that
+    ``may_lag`` may have been seconds old by then.  ``size_bytes`` is the
+    size of all pages of the answer, 0 if unknown.
     """
 
     items: tuple
@@ -52,9 +52,8 @@
 class Delta(Message):
     """Objects written and names removed from ``base`` to ``revision``.
 
-    ``age_ms`` is the time that passed since the store began to answer.
-    ``changes`` are the revisions of all these changes, as far as it told
-    them.
+    ``age_ms`` is the time since the store began to answer.  ``changes``
+    holds the revisions of these changes, as far as the answer has them.
     """
 
     written: tuple
@@ -83,7 +82,7 @@
 
 @message
 class Expiring(Message):
-    """A target that is known for ``left_ms`` more."""
+    """The entry of a target that is kept for ``left_ms`` more."""
 
     entry: TargetEntry
     left_ms: int
@@ -101,9 +100,9 @@
 class Snapshot(Message):
     """All targets, routes and evacuations, each as of a revision.
 
-    ``targets`` are in the store, ``missing`` have vanished from it of
-    late, and ``retired`` are gone, but may still hold flows.  ``evacuated``
-    is None if that is not known.
+    ``targets`` are in the store, ``missing`` were removed from it recently
+    and may come back, and ``retired`` have ended but may still have flows.
+    ``evacuated`` is None if the evacuated domains are not known.
     """
 
     targets: tuple[TargetEntry, ...]
@@ -117,17 +116,18 @@
 
 @message
 class TargetUnknown(Message):
-    """A segment waits for a target that is not known here."""
+    """A segment waits for a target that is not in the directory."""
 
     now_ms: int
 
 
 @message
 class DomainMembers(Message):
-    """Live members of the own domain; isolated if no other one lives.
+    """Number of live members of the own domain.
 
-    ``fleet`` is about how many there are in all domains, also of those that
-    died of late; 0 until this one has heard of its whole domain.
+    ``is_isolated`` is true if members of other domains are known but none is
+    reachable.  ``fleet`` estimates the members of all domains, recently dead
+    ones included; 0 until the members of the own domain are known.
     """
 
     local: int
--- a/src/liftmount/_internal/models/members.py
+++ b/src/liftmount/_internal/models/members.py
@@ -1,4 +1,4 @@
-"""Members of the group of balancers, and their wire form."""
+"""Members of the group of balancers, and the wire form of their records."""
 
 from enum import IntEnum
 
@@ -13,7 +13,7 @@
 
 
 class MemberStatus(IntEnum):
-    """Status of a member; of two at one version the higher one holds."""
+    """Status of a member; at the same version the higher one wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -23,11 +23,11 @@
 
 @frozen
 class Member:
-    """A balancer as the others know it.
+    """The record of a balancer in the group.
 
-    ``incarnation`` identifies the process, ``version`` counts what that
-    process said of itself.  ``has_platform`` tells whether it reaches the
-    platform, ``leaving`` whether a planned stop is under way.
+    ``incarnation`` identifies the process, ``version`` counts the changes
+    that the process made to its record.  ``has_platform`` is true if it
+    reaches the platform, ``leaving`` during a planned shutdown.
     """
 
     name: str
@@ -42,16 +42,16 @@
 
     @property
     def reachable(self) -> bool:
-        """Tell whether it makes sense to send to the member."""
+        """Return whether the member may be sent to: alive or suspected."""
         return self.status in (MemberStatus.ALIVE, MemberStatus.SUSPECT)
 
     @property
     def eligible(self) -> bool:
-        """Tell whether the member may own pools and take new flows."""
+        """Return whether the member may own pools and take new flows."""
         return self.reachable and not self.leaving
 
     def newer_than(self, other) -> bool:
-        """Tell whether this record replaces ``other``."""
+        """Return whether this record replaces ``other``."""
         return self._order() > other._order()
 
     def _order(self):
@@ -78,7 +78,7 @@
 
 
 def parse_member(record) -> Member:
-    """Read the wire form of a member; raises PacketError."""
+    """Decode the wire form of a member; raises PacketError."""
     if type(record) is not list or len(record) < _RECORD_FIELDS:
         raise PacketError('member record is too short')
     name, domain, peer, control, incarnation, version, *rest = record
--- a/src/liftmount/_internal/models/peer_messages.py
+++ b/src/liftmount/_internal/models/peer_messages.py
@@ -1,8 +1,7 @@
-"""What balancers tell each other of routes and targets, and its wire form.
+"""Messages between balancers on routes, targets and members: wire forms.
 
-All is CBOR.  A beat fits into a datagram; the whole knowledge goes over a
-connection, compressed, as a configuration of hundreds of routes repeats
-itself.
+All are CBOR.  A heartbeat fits into a datagram; snapshots and lists of
+members are compressed and sent over a connection.
 """
 
 import zlib
@@ -26,21 +25,22 @@
 from liftmount._internal.models.segments import TargetEntry
 from liftmount._internal.models.segments import WarmUp
 
+# First item of a datagram between balancers, which tells its kind.
 HEARTBEAT_MARK = 3
 HEARTBEAT_REQUEST_MARK = 4
 STALL_REPORT_MARK = 5
-# Snapshot of 27,000 targets takes about 2 MB before it is compressed.
+# Limit on decompressed data, against malformed input.
 MAX_SNAPSHOT_BYTES = 64 * 1_048_576
 
 
 @message
 class Heartbeat(Message):
-    """How fresh the sender's knowledge is, and what changed of late.
+    """Revisions and freshness of the sender's data, and recent changes.
 
-    ``age_ms`` is the time since the store last confirmed it.  What was
-    ``written`` and ``removed`` leads from any revision of targets at or
-    after ``base`` to ``targets_revision``.  ``evacuated`` is None
-    if the sender does not know which failure domains are.
+    ``age_ms`` is the time since the store last confirmed the data.  Entries
+    ``written`` and names ``removed`` lead from any revision of targets at or
+    after ``base`` to ``targets_revision``.  ``evacuated`` is None if the
+    sender has not received the evacuated failure domains.
     """
 
     sender: str
@@ -69,7 +69,7 @@
 
 
 def encode_heartbeat(heartbeat: Heartbeat) -> bytes:
-    """Return the wire form of a beat."""
+    """Return the wire form of a heartbeat."""
     return cbor2.dumps(
         [
             HEARTBEAT_MARK,
@@ -87,34 +87,34 @@
 
 
 def is_heartbeat(datagram: bytes) -> bool:
-    """Tell whether a datagram of a peer is a beat."""
+    """Return whether a datagram of a peer is a heartbeat."""
     return _has_mark(datagram, HEARTBEAT_MARK)
 
 
 def encode_heartbeat_request(sender: str) -> bytes:
-    """Return the wire form of a question for a beat."""
+    """Return the wire form of a heartbeat request."""
     return cbor2.dumps([HEARTBEAT_REQUEST_MARK, sender])
 
 
 def is_heartbeat_request(datagram: bytes) -> bool:
-    """Tell whether a datagram of a peer asks for a beat."""
+    """Return whether a datagram of a peer is a heartbeat request."""
     return _has_mark(datagram, HEARTBEAT_REQUEST_MARK)
 
 
 def decode_heartbeat_request(datagram: bytes) -> str:
-    """Return who asks for a beat; raises PacketError on anything else."""
+    """Return the sender of a heartbeat request; raises PacketError."""
     try:
         _mark, sender = cbor2.loads(datagram)
     except Exception as error:
         # The library raises whatever the bytes make it stumble over.
-        raise PacketError(f'not a question: {error}') from error
+        raise PacketError(f'malformed heartbeat request: {error}') from error
     if type(sender) is not str:
-        raise PacketError('a question of nobody')
+        raise PacketError('sender of a heartbeat request is not a string')
     return sender
 
 
 def encode_stall_report(report: StallReport) -> bytes:
-    """Return the wire form of what one has seen of a target."""
+    """Return the wire form of a stall report."""
     return cbor2.dumps(
         [
             STALL_REPORT_MARK,
@@ -128,23 +128,23 @@
 
 
 def is_stall_report(datagram: bytes) -> bool:
-    """Tell whether a datagram of a peer tells of a target that stalls."""
+    """Return whether a datagram of a peer is a stall report."""
     return _has_mark(datagram, STALL_REPORT_MARK)
 
 
 def decode_stall_report(datagram: bytes) -> StallReport:
-    """Read what one has seen; raises PacketError on anything else."""
+    """Decode a stall report; raises PacketError."""
     try:
         _mark, target, source, *numbers = cbor2.loads(datagram)
         waited_ms, age_ms, number = (max(0, int(one)) for one in numbers)
         return StallReport(str(target), str(source), waited_ms, age_ms, number)
     except Exception as error:
         # The library raises whatever the bytes make it stumble over.
-        raise PacketError(f'not a doubt: {error}') from error
+        raise PacketError(f'malformed stall report: {error}') from error
 
 
 def decode_heartbeat(datagram: bytes) -> Heartbeat:
-    """Read a beat; raises PacketError on anything else."""
+    """Decode a heartbeat; raises PacketError."""
     try:
         _mark, sender, *numbers = cbor2.loads(datagram)
         *numbers, written, removed, evacuated = numbers
@@ -164,11 +164,11 @@
         )
     except Exception as error:
         # The library raises whatever the bytes make it stumble over.
-        raise PacketError(f'not a beat: {error}') from error
+        raise PacketError(f'malformed heartbeat: {error}') from error
 
 
 def encode_snapshot(snapshot: Snapshot) -> bytes:
-    """Return the wire form of all knowledge."""
+    """Return the wire form of a snapshot."""
     table = snapshot.table
     document = [
         [_encode_target(one) for one in snapshot.targets],
@@ -183,7 +183,7 @@
 
 
 def decode_snapshot(data: bytes) -> Snapshot:
-    """Read all knowledge; raises PacketError on anything else."""
+    """Decode a snapshot; raises PacketError."""
     try:
         unpacker = zlib.decompressobj()
         document = unpacker.decompress(data, MAX_SNAPSHOT_BYTES)
@@ -202,41 +202,41 @@
         )
     except Exception as error:
         # The libraries raise whatever the bytes make them stumble over.
-        raise PacketError(f'not knowledge: {error}') from error
+        raise PacketError(f'malformed snapshot: {error}') from error
 
 
 def encode_member(member: Member) -> bytes:
-    """Return the wire form of the record of a member."""
+    """Return the wire form of a member's record."""
     return cbor2.dumps(member_record(member))
 
 
 def decode_member(data: bytes) -> Member:
-    """Read the record of a member; raises PacketError on anything else."""
+    """Decode a member's record; raises PacketError."""
     try:
         return parse_member(cbor2.loads(data))
     except Exception as error:
         # The library raises whatever the bytes make it stumble over.
-        raise PacketError(f'not a member: {error}') from error
+        raise PacketError(f'malformed member: {error}') from error
 
 
 def encode_members(members) -> bytes:
-    """Return the wire form of the records of members."""
+    """Return the wire form of a list of members."""
     return zlib.compress(cbor2.dumps([member_record(one) for one in members]))
 
 
 def decode_members(data: bytes) -> list[Member]:
-    """Read the records of members; raises PacketError on anything else."""
+    """Decode a list of members; raises PacketError."""
     try:
         unpacker = zlib.decompressobj()
         records = cbor2.loads(unpacker.decompress(data, MAX_SNAPSHOT_BYTES))
         return [parse_member(one) for one in records]
     except Exception as error:
         # The libraries raise whatever the bytes make them stumble over.
-        raise PacketError(f'not members: {error}') from error
+        raise PacketError(f'malformed list of members: {error}') from error
 
 
 def _has_mark(datagram, mark):
-    """Tell whether a mark stands behind the head of a list."""
+    """Return whether the first item of a CBOR list is ``mark``."""
     return len(datagram) > 1 and datagram[1] == mark
 
 
@@ -256,7 +256,7 @@
 
 def _decode_target(fields):
     name, number, service, endpoint, domain, slots, draining, *times = fields
-    # Members of an earlier version don't tell when a target started.
+    # Members of an earlier version don't send ``started_wall_ms``.
     warm_up_ms, started_wall_ms = (*map(int, times), 0)[:2]
     return TargetEntry(
         name=str(name),
@@ -338,7 +338,7 @@
 
 
 def _decode_kind(value):
-    """Return a kind; one of a later version gets the strictest promise."""
+    """Return a kind; an unknown one is served at most once."""
     try:
         return RouteKind(value)
     except ValueError:
--- a/src/liftmount/stalls.py
+++ b/src/liftmount/stalls.py
@@ -1,28 +1,34 @@
-"""Targets that take requests and give no answer."""
+"""Detection of targets that take requests and give no answer."""
 
 from liftmount._internal.decisions.stall_reports import decide
-from liftmount._internal.decisions.stall_reports import EjectTarget as HoldOut
-from liftmount._internal.decisions.stall_reports import (
-    SendStallReport as TellDoubt,
-)
-from liftmount._internal.decisions.stall_reports import (
-    StallReportReceived as DoubtArrived,
-)
-from liftmount._internal.decisions.stall_reports import (
-    StallReportState as DoubtState,
-)
+from liftmount._internal.decisions.stall_reports import EjectTarget
+from liftmount._internal.decisions.stall_reports import SendStallReport
+from liftmount._internal.decisions.stall_reports import StallReportReceived
+from liftmount._internal.decisions.stall_reports import StallReportState
 from liftmount._internal.decisions.stall_reports import StallSeen
 from liftmount._internal.decisions.stalls import Stalled
 from liftmount._internal.decisions.stalls import StallWatch
-from liftmount._internal.models.peer_messages import StallReport as Doubt
+from liftmount._internal.models.peer_messages import StallReport
+
+# Earlier names of the same classes.
+Doubt = StallReport
+DoubtArrived = StallReportReceived
+DoubtState = StallReportState
+HoldOut = EjectTarget
+TellDoubt = SendStallReport
 
 __all__ = (
     'decide',
     'Doubt',
     'DoubtArrived',
     'DoubtState',
+    'EjectTarget',
     'HoldOut',
+    'SendStallReport',
     'Stalled',
+    'StallReport',
+    'StallReportReceived',
+    'StallReportState',
     'StallSeen',
     'StallWatch',
     'TellDoubt',
