--- a/src/liftmount/_internal/commands/status.py
+++ b/src/liftmount/_internal/commands/status.py
@@ -12,9 +12,9 @@
 from liftmount._internal.cli.base import STATUS_NOT_IN_FORCE
 from liftmount._internal.cli.base import STATUS_OK
 from liftmount._internal.clock import seconds
+from liftmount._internal.models.objects import DISSEMINATED_KINDS
 from liftmount._internal.models.objects import Evacuation
 from liftmount._internal.models.objects import ObjectKind
-from liftmount._internal.models.objects import SPREAD_KINDS
 from liftmount._internal.store.instances import live_domains
 from liftmount._internal.store.statuses import read_statuses
 from liftmount._internal.utils.documents import structure
@@ -76,7 +76,7 @@
 
 async def _rows(store):
     newest = 0
-    for kind in SPREAD_KINDS:
+    for kind in DISSEMINATED_KINDS:
         listing = await store.list(kind.value)
         versions = [item.version for item in listing.items]
         newest = max([newest, *versions])
--- a/src/liftmount/_internal/decisions/admission.py
+++ b/src/liftmount/_internal/decisions/admission.py
@@ -9,9 +9,9 @@
 from attrs import define
 from attrs import Factory
 
-CLASSES = ('urgent', 'normal', 'may-wait')
+PRIORITY_CLASSES = ('urgent', 'normal', 'may-wait')
 # Share of all starts that a waiting class gets at the least.
-FLOORS = {'normal': 0.2, 'may-wait': 0.1}
+GUARANTEED_SHARES = {'normal': 0.2, 'may-wait': 0.1}
 MAX_CREDIT = 1.0
 
 
@@ -20,9 +20,11 @@
     """Requests that wait for a slot of one pool, by priority class."""
 
     queues: dict[str, deque] = Factory(
-        lambda: {name: deque() for name in CLASSES}
+        lambda: {name: deque() for name in PRIORITY_CLASSES}
+    )
+    credit: dict[str, float] = Factory(
+        lambda: dict.fromkeys(GUARANTEED_SHARES, 0.0)
     )
-    credit: dict[str, float] = Factory(lambda: dict.fromkeys(FLOORS, 0.0))
 
     def __len__(self) -> int:
         return sum(len(queue) for queue in self.queues.values())
@@ -37,8 +39,10 @@
 
     def ahead(self, priority: str) -> int:
         """Return how many would run before a new item of this class."""
-        position = CLASSES.index(priority) + 1
-        return sum(len(self.queues[name]) for name in CLASSES[:position])
+        position = PRIORITY_CLASSES.index(priority) + 1
+        return sum(
+            len(self.queues[name]) for name in PRIORITY_CLASSES[:position]
+        )
 
     def waiting(self, priority: str) -> int:
         """Return how many items of one class wait."""
@@ -54,7 +58,9 @@
 
     def displace(self, priority: str):
         """Return the newest item of a class below ``priority``, or None."""
-        for name in reversed(CLASSES[CLASSES.index(priority) + 1 :]):
+        for name in reversed(
+            PRIORITY_CLASSES[PRIORITY_CLASSES.index(priority) + 1 :]
+        ):
             if self.queues[name]:
                 return self.queues[name].pop()
         return None
@@ -68,10 +74,10 @@
         return self.queues[chosen].popleft()
 
     def _choose(self):
-        for name in reversed(CLASSES):
+        for name in reversed(PRIORITY_CLASSES):
             if self.credit.get(name, 0.0) >= 1.0 and self.queues[name]:
                 return name
-        for name in CLASSES:
+        for name in PRIORITY_CLASSES:
             if self.queues[name]:
                 return name
         return None
@@ -79,7 +85,7 @@
     def _credit_others(self, chosen):
         if chosen in self.credit:
             self.credit[chosen] = max(0.0, self.credit[chosen] - 1.0)
-        for name, floor in FLOORS.items():
+        for name, floor in GUARANTEED_SHARES.items():
             if name == chosen or not self.queues[name]:
                 continue
             # The class earns its floor with each start of another class;
--- a/src/liftmount/_internal/decisions/answers.py
+++ b/src/liftmount/_internal/decisions/answers.py
@@ -5,7 +5,7 @@
 
 from liftmount._internal.models.verdict import Outcome
 
-OVERHEAD_BYTES = 200
+ENTRY_OVERHEAD_BYTES = 200
 
 
 @define
@@ -15,32 +15,32 @@
     keep_ms: int
     max_bytes: int
     size_bytes: int = 0
-    _kept: dict = Factory(dict)
+    _entries: dict = Factory(dict)
 
     def put(self, key, outcome: Outcome, now_ms: int) -> None:
         """Keep an outcome; the oldest give way."""
-        self._kept[key] = (outcome, now_ms)
+        self._entries[key] = (outcome, now_ms)
         self.size_bytes += _size(outcome)
         while self.size_bytes > self.max_bytes:
             self._drop_oldest()
 
     def get(self, key) -> Outcome | None:
         """Return the outcome of ``key`` when it is still kept."""
-        found = self._kept.get(key)
+        found = self._entries.get(key)
         return found[0] if found else None
 
     def expire(self, now_ms: int) -> None:
         """Forget the outcomes that are too old."""
-        while self._kept:
-            _outcome, kept_ms = next(iter(self._kept.values()))
+        while self._entries:
+            _outcome, kept_ms = next(iter(self._entries.values()))
             if now_ms - kept_ms < self.keep_ms:
                 return
             self._drop_oldest()
 
     def _drop_oldest(self):
-        outcome, _kept_ms = self._kept.pop(next(iter(self._kept)))
+        outcome, _kept_ms = self._entries.pop(next(iter(self._entries)))
         self.size_bytes -= _size(outcome)
 
 
 def _size(outcome):
-    return len(outcome.body) + OVERHEAD_BYTES
+    return len(outcome.body) + ENTRY_OVERHEAD_BYTES
--- a/src/liftmount/_internal/decisions/capacity.py
+++ b/src/liftmount/_internal/decisions/capacity.py
@@ -19,24 +19,24 @@
 INITIAL_LIMIT = 1
 MAX_LIMIT = 1_024
 # Trials at a level without a proof, before it is taken for a queue.
-TRIALS = 24
+TRIALS_TO_DISPROVE = 24
 # A level that was disproved before needs fewer to be disproved again.
-TRIALS_AGAIN = 8
-CEILING_MS = 10_000
-LONGEST_CEILING_MS = 160_000
+TRIALS_TO_DISPROVE_AGAIN = 8
+MIN_CEILING_MS = 10_000
+MAX_CEILING_MS = 160_000
 LATENCY_WEIGHT = 0.1
 SHED_WEIGHT = 0.1
 # Sheds at a level mean that it does not fit if they are the rule there
 # and rare below; sheds at all levels have another cause.  The shares lie
 # far enough apart that chance alone does not bridge them.
-SHED_RULE = 0.85
-SHED_RARE = 0.4
+MIN_SHED_SHARE_AT_LEVEL = 0.85
+MAX_SHED_SHARE_BELOW = 0.4
 # A target that shares its processor among all requests proves any level,
 # but gets slower.  Above this multiple of its best mean latency no higher
 # level is taken for proven; the best fades, so that a target which has
 # become slower for good may be proven anew.
-SLOWER = 2.5
-BEST_FADES = 1.001
+MAX_SLOWDOWN = 2.5
+BEST_LATENCY_GROWTH = 1.001
 
 
 @define
@@ -50,7 +50,7 @@
         """Note a latency."""
         change_ms = (latency_ms - self.mean_ms) * LATENCY_WEIGHT
         self.mean_ms = max(0.1, self.mean_ms + change_ms)
-        self.best_ms = min(self.best_ms * BEST_FADES, self.mean_ms)
+        self.best_ms = min(self.best_ms * BEST_LATENCY_GROWTH, self.mean_ms)
 
 
 @define
@@ -65,7 +65,7 @@
     limit: int = INITIAL_LIMIT
     ceiling: int = MAX_LIMIT
     ceiling_until_ms: int = 0
-    ceiling_length_ms: int = CEILING_MS
+    ceiling_length_ms: int = MIN_CEILING_MS
     trials: int = 0
     latencies: dict[str, _Latency] = Factory(dict)
     shed_share: dict[int, float] = Factory(dict)
@@ -101,16 +101,16 @@
 
         ``ended_before`` others ended between its start and its end.
         """
-        self._note_shed(level, False)
+        self._update_shed_share(level, False)
         latency = self.latencies.get(service)
         if latency is None:
             latency = _Latency(latency_ms, latency_ms)
             self.latencies[service] = latency
         latency.add(latency_ms)
         proven = level - ended_before
-        is_slower = latency.mean_ms > SLOWER * latency.best_ms
+        is_slower = latency.mean_ms > MAX_SLOWDOWN * latency.best_ms
         if proven > self.limit and not is_slower:
-            self._prove(proven)
+            self._raise_limit(proven)
         elif level > self.limit:
             self.trials += 1
             if self.trials >= self._trials_needed():
@@ -118,29 +118,35 @@
 
     def shed(self, level: int, now_ms: int) -> None:
         """Note that the ``level``-th request at once was shed."""
-        share = self._note_shed(level, True)
+        share = self._update_shed_share(level, True)
         if level > self.limit:
             self._lower_ceiling(level, now_ms)
             return
         below = self.shed_share.get(level - 1, 0.0)
-        if level > 1 and share > SHED_RULE and below < SHED_RARE:
+        if (
+            level > 1
+            and share > MIN_SHED_SHARE_AT_LEVEL
+            and below < MAX_SHED_SHARE_BELOW
+        ):
             self.limit = level - 1
             self._lower_ceiling(level, now_ms)
 
     def _trials_needed(self):
-        was_disproved = self.ceiling_length_ms > CEILING_MS
-        return TRIALS_AGAIN if was_disproved else TRIALS
+        was_disproved = self.ceiling_length_ms > MIN_CEILING_MS
+        return (
+            TRIALS_TO_DISPROVE_AGAIN if was_disproved else TRIALS_TO_DISPROVE
+        )
 
-    def _note_shed(self, level, was_shed):
+    def _update_shed_share(self, level, was_shed):
         share = self.shed_share.get(level, 0.0)
         share += (was_shed - share) * SHED_WEIGHT
         self.shed_share[level] = share
         return share
 
-    def _prove(self, level):
+    def _raise_limit(self, level):
         self.limit = min(level, MAX_LIMIT)
         self.trials = 0
-        self.ceiling_length_ms = CEILING_MS
+        self.ceiling_length_ms = MIN_CEILING_MS
         if self.ceiling <= self.limit:
             self.ceiling = MAX_LIMIT
 
@@ -149,7 +155,7 @@
         self.trials = 0
         self.ceiling_until_ms = now_ms + self.ceiling_length_ms
         doubled_ms = 2 * self.ceiling_length_ms
-        self.ceiling_length_ms = min(doubled_ms, LONGEST_CEILING_MS)
+        self.ceiling_length_ms = min(doubled_ms, MAX_CEILING_MS)
         for one in [key for key in self.shed_share if key > self.limit]:
             del self.shed_share[one]
 
@@ -166,12 +172,14 @@
         """Account for ``in_progress`` since the last update."""
         elapsed_ms = now_ms - self.updated_ms
         if elapsed_ms > 0:
-            self.busy = fade(self.busy, in_progress, elapsed_ms, self.fade_ms)
+            self.busy = decay_mean(
+                self.busy, in_progress, elapsed_ms, self.fade_ms
+            )
             self.updated_ms = now_ms
         return self.busy
 
 
-def fade(
+def decay_mean(
     mean: float, value: float, elapsed_ms: float, fade_ms: float
 ) -> float:
     """Return a mean after ``value`` held for ``elapsed_ms``."""
--- a/src/liftmount/_internal/decisions/claims.py
+++ b/src/liftmount/_internal/decisions/claims.py
@@ -60,27 +60,30 @@
     actions = []
     for address, services in view.wanted.items():
         known = claims.get(str(address))
-        actions += _decide_one(
+        actions += _decide_address(
             str(address), services, known, statuses, domains
         )
     return actions
 
 
-def _decide_one(address, services, known, statuses, domains):
+def _decide_address(address, services, known, statuses, domains):
     ordered = sorted(services, key=lambda one: (one.team, one.name))
     if known is None:
-        claim = _held(ordered[0], 1)
-        return [WriteClaim(address, claim, 0), *_conflict(address, ordered)]
+        claim = _make_held_claim(ordered[0], 1)
+        return [
+            WriteClaim(address, claim, 0),
+            *_find_conflict(address, ordered),
+        ]
     version, claim = known
     holder = (claim.team, claim.service)
     if claim.state == ClaimState.RELEASING.value:
         if not in_force(version, statuses, domains):
             return []
-        grant = _held(ordered[0], claim.generation + 1)
+        grant = _make_held_claim(ordered[0], claim.generation + 1)
         return [WriteClaim(address, grant, version)]
     if any((one.team, one.name) == holder for one in ordered):
         ordered.sort(key=lambda one: (one.team, one.name) != holder)
-        return _conflict(address, ordered)
+        return _find_conflict(address, ordered)
     released = Claim(
         team=claim.team,
         service=claim.service,
@@ -90,11 +93,11 @@
     return [WriteClaim(address, released, version)]
 
 
-def _held(service, generation):
+def _make_held_claim(service, generation):
     return Claim(service.team, service.name, generation)
 
 
-def _conflict(address, ordered):
+def _find_conflict(address, ordered):
     if len(ordered) < 2:
         return []
     names = tuple(f'{one.team}/{one.name}' for one in ordered)
--- a/src/liftmount/_internal/decisions/flows.py
+++ b/src/liftmount/_internal/decisions/flows.py
@@ -8,14 +8,14 @@
 from liftmount._internal.models.configuration import Service
 
 STREAM_IDLE_MS = 60_000
-EXPIRY_SLICE = 2_000
+MAX_IDLE_CHECKS = 2_000
 
 
 @define
 class Flow:
     """One flow at its home.
 
-    ``acknowledged`` and ``pushed`` are sequence numbers of a stream: what
+    ``acknowledged_sequence`` and ``pushed_sequence`` are sequence numbers of a stream: what
     the caller has, and the highest handed to it.
     """
 
@@ -23,14 +23,14 @@
     service: Service
     caller: Endpoint
     flow_id: bytes
-    seen_ms: int
+    last_seen_ms: int
     target: str = ''
     target_incarnation: int = 0
     window: Window | None = None
     name: bytes = b''
-    acknowledged: int = 0
-    pushed: int = 0
-    pushed_ms: int = 0
+    acknowledged_sequence: int = 0
+    pushed_sequence: int = 0
+    last_pushed_ms: int = 0
 
 
 @define
@@ -74,7 +74,7 @@
             del self.by_key[key]
         return flow
 
-    def move(self, flow: Flow, caller: Endpoint) -> None:
+    def update_caller(self, flow: Flow, caller: Endpoint) -> None:
         """Note that a caller now sends from another address."""
         if flow.caller == caller:
             return
@@ -84,12 +84,12 @@
         flow.caller = caller
         self.by_key[caller, flow.flow_id] = flow.nonce
 
-    def idle(self, now_ms: int) -> list[Flow]:
+    def find_idle(self, now_ms: int) -> list[Flow]:
         """Return idle flows among the next slice to be checked."""
         if not self._to_check:
             self._to_check = list(self.flows)
         found = []
-        for _ in range(min(EXPIRY_SLICE, len(self._to_check))):
+        for _ in range(min(MAX_IDLE_CHECKS, len(self._to_check))):
             flow = self.flows.get(self._to_check.pop())
             if flow is not None and self._is_idle(flow, now_ms):
                 found.append(flow)
@@ -99,4 +99,4 @@
         limit_ms = self.idle_ms
         if flow.service.mode == 'stream':
             limit_ms = min(limit_ms, STREAM_IDLE_MS)
-        return now_ms - flow.seen_ms >= limit_ms
+        return now_ms - flow.last_seen_ms >= limit_ms
--- a/src/liftmount/_internal/decisions/home.py
+++ b/src/liftmount/_internal/decisions/home.py
@@ -29,7 +29,7 @@
 
     pool: Pool
     queue: AdmissionQueue = Factory(AdmissionQueue)
-    budget: RetryBudget = Factory(RetryBudget)
+    retry_budget: RetryBudget = Factory(RetryBudget)
 
 
 @define
@@ -79,21 +79,21 @@
     return [CountRefusal(reason), refusal]
 
 
-def grant_again(state: HomeState, event):
+def regrant_flow(state: HomeState, event):
     """Return the grant of a flow that was asked for before, or None."""
     known = state.flows.find(event.caller, event.flow_id)
     if known is None or known.service != event.service:
         return None
-    known.seen_ms = event.now_ms
-    return grant(known)
+    known.last_seen_ms = event.now_ms
+    return grant_flow(known)
 
 
-def touch(state: HomeState, event) -> Flow | None:
+def refresh_flow(state: HomeState, event) -> Flow | None:
     """Note that a flow was heard of; None when it is not known here."""
     flow = state.flows.get(event.nonce)
     if flow is not None:
-        flow.seen_ms = event.now_ms
-        state.flows.move(flow, event.caller)
+        flow.last_seen_ms = event.now_ms
+        state.flows.update_caller(flow, event.caller)
     return flow
 
 
@@ -104,16 +104,16 @@
         service=event.service,
         caller=event.caller,
         flow_id=event.flow_id,
-        seen_ms=event.now_ms,
+        last_seen_ms=event.now_ms,
         target=target,
         target_incarnation=incarnation,
         name=event.name,
-        acknowledged=event.sequence,
-        pushed=event.sequence,
+        acknowledged_sequence=event.sequence,
+        pushed_sequence=event.sequence,
     )
 
 
-def grant(flow: Flow) -> GrantFlow:
+def grant_flow(flow: Flow) -> GrantFlow:
     """Return the action that gives a caller its token."""
     return GrantFlow(
         caller=flow.caller,
@@ -125,7 +125,7 @@
     )
 
 
-def due(deadlines: list, now_ms: int):
+def pop_due(deadlines: list, now_ms: int):
     """Yield the ids whose deadline has passed, in order."""
     while deadlines and deadlines[0][0] <= now_ms:
         yield heappop(deadlines)[1]
--- a/src/liftmount/_internal/decisions/keys.py
+++ b/src/liftmount/_internal/decisions/keys.py
@@ -40,12 +40,12 @@
         return evolve(keys, current=newest.id) if is_in_force else None
     if wall_ms - newest.created_wall_ms < times.rotation_ms:
         return None
-    kept = _still_opening(keys.keys, times.overlap_ms, wall_ms)
+    kept = _select_opening_keys(keys.keys, times.overlap_ms, wall_ms)
     added = FlowKey(newest.id + 1, secret_hex, wall_ms)
     return FlowKeys(current=keys.current, keys=[*kept, added])
 
 
-def _still_opening(keys, overlap_ms, wall_ms):
+def _select_opening_keys(keys, overlap_ms, wall_ms):
     """Return the keys that sealed a token within the overlap.
 
     A key sealed its last token when its successor came.
--- a/src/liftmount/_internal/decisions/lease.py
+++ b/src/liftmount/_internal/decisions/lease.py
@@ -99,9 +99,9 @@
     """
     match event:
         case LeaseRead():
-            return _read(state, event, is_candidate)
+            return _handle_read(state, event, is_candidate)
         case LeaseWritten():
-            _note(state, event.value, event.version, event.asked_ms)
+            _record_version(state, event.value, event.version, event.asked_ms)
             state.held_until_ms = event.asked_ms + state.duration_ms
             return []
         case LeaseWriteFailed():
@@ -109,11 +109,11 @@
             state.version = -1
             return []
         case Tick():
-            return _tick(state, event.now_ms, is_candidate)
+            return _handle_tick(state, event.now_ms, is_candidate)
     raise TypeError(f'unknown event {event!r}')
 
 
-def _note(state, value, version, now_ms):
+def _record_version(state, value, version, now_ms):
     if version != state.version:
         state.version_seen_ms = now_ms
     state.value = value
@@ -128,7 +128,7 @@
     return (value.holder, value.incarnation) == own
 
 
-def _tick(state, now_ms, is_candidate):
+def _handle_tick(state, now_ms, is_candidate):
     if not is_candidate:
         state.held_until_ms = 0
         return []
@@ -136,11 +136,11 @@
         return []
     state.next_step_ms = now_ms + state.duration_ms // RENEWALS_PER_LEASE
     if state.is_held(now_ms) and _is_own(state):
-        return [WriteLease(_renewed(state), state.version)]
+        return [WriteLease(_make_renewed(state), state.version)]
     return [ReadLease()]
 
 
-def _renewed(state):
+def _make_renewed(state):
     return LeaseValue(
         holder=state.name,
         incarnation=state.incarnation,
@@ -150,21 +150,21 @@
     )
 
 
-def _read(state, event, is_candidate):
-    _note(state, event.value, event.version, event.now_ms)
+def _handle_read(state, event, is_candidate):
+    _record_version(state, event.value, event.version, event.now_ms)
     if not is_candidate:
         return []
     if event.value is None:
-        return [WriteLease(_taken(state), 0)]
+        return [WriteLease(_make_next_epoch(state), 0)]
     if _is_own(state):
-        return [WriteLease(_renewed(state), event.version)]
-    unmoved_ms = event.now_ms - state.version_seen_ms
-    if unmoved_ms >= event.value.duration_ms:
-        return [WriteLease(_taken(state), event.version)]
+        return [WriteLease(_make_renewed(state), event.version)]
+    unchanged_ms = event.now_ms - state.version_seen_ms
+    if unchanged_ms >= event.value.duration_ms:
+        return [WriteLease(_make_next_epoch(state), event.version)]
     return []
 
 
-def _taken(state):
+def _make_next_epoch(state):
     return LeaseValue(
         holder=state.name,
         incarnation=state.incarnation,
--- a/src/liftmount/_internal/decisions/ownership.py
+++ b/src/liftmount/_internal/decisions/ownership.py
@@ -44,7 +44,7 @@
         self.remove(member)
         self.domains[member] = failure_domain
         for pool, (owner, wanted) in list(self._owners.items()):
-            if self._beats(pool, member, owner, wanted):
+            if self._outranks(pool, member, owner, wanted):
                 self._owners[pool] = (member, wanted)
 
     def remove(self, member: str) -> None:
@@ -75,16 +75,16 @@
             return None
         found = max(
             self.domains,
-            key=lambda one: self._weight(pool, one, wanted),
+            key=lambda one: self._sort_key(pool, one, wanted),
         )
         self._owners[pool] = (found, wanted)
         return found
 
-    def _weight(self, pool, member, wanted):
+    def _sort_key(self, pool, member, wanted):
         return (self.domains[member] in wanted, score(pool, member))
 
-    def _beats(self, pool, member, owner, wanted):
+    def _outranks(self, pool, member, owner, wanted):
         if owner not in self.domains:
             return True
-        challenger = self._weight(pool, member, wanted)
-        return challenger > self._weight(pool, owner, wanted)
+        challenger = self._sort_key(pool, member, wanted)
+        return challenger > self._sort_key(pool, owner, wanted)
--- a/src/liftmount/_internal/decisions/reassembly.py
+++ b/src/liftmount/_internal/decisions/reassembly.py
@@ -5,7 +5,7 @@
 
 
 @define
-class _Partial:
+class _PartialBody:
     pieces: int
     started_ms: int
     parts: dict[int, bytes] = Factory(dict)
@@ -32,7 +32,7 @@
         partial = self._partials.get(key)
         if partial is None or partial.pieces != pieces:
             self.discard(key)
-            partial = self._partials[key] = _Partial(pieces, now_ms)
+            partial = self._partials[key] = _PartialBody(pieces, now_ms)
         if piece not in partial.parts:
             partial.parts[piece] = body
             partial.size_bytes += len(body)
@@ -40,7 +40,7 @@
         if len(partial.parts) == pieces:
             self.discard(key)
             return b''.join(partial.parts[i] for i in range(pieces))
-        self._shrink()
+        self._evict_oldest()
         return None
 
     def discard(self, key) -> None:
@@ -58,6 +58,6 @@
                 return
             self.discard(key)
 
-    def _shrink(self):
+    def _evict_oldest(self):
         while self.size_bytes > self.max_bytes:
             self.discard(next(iter(self._partials)))
--- a/src/liftmount/_internal/decisions/requests.py
+++ b/src/liftmount/_internal/decisions/requests.py
@@ -10,13 +10,13 @@
 
 from attrs import define
 
-from liftmount._internal.decisions.home import due
-from liftmount._internal.decisions.home import grant
-from liftmount._internal.decisions.home import grant_again
+from liftmount._internal.decisions.home import grant_flow
 from liftmount._internal.decisions.home import HomeState
 from liftmount._internal.decisions.home import new_flow
+from liftmount._internal.decisions.home import pop_due
+from liftmount._internal.decisions.home import refresh_flow
 from liftmount._internal.decisions.home import refuse_flow
-from liftmount._internal.decisions.home import touch
+from liftmount._internal.decisions.home import regrant_flow
 from liftmount._internal.decisions.pool import Start
 from liftmount._internal.decisions.window import Claim
 from liftmount._internal.decisions.window import Window
@@ -42,15 +42,15 @@
 from liftmount._internal.models.verdict import Verdict
 
 MAX_ATTEMPTS = 4
-RETRY_AFTER_MS = 500
+MIN_RETRY_AFTER_MS = 500
 MAX_RETRY_AFTER_MS = 30_000
 # A target that neither answers nor breaks its connection holds its slot
 # this long after the deadline; then the slot is counted as lost.
-SILENCE_MS = 10_000
+SLOT_GRACE_MS = 10_000
 
 
 @define(eq=False)
-class Pending:
+class PendingRequest:
     """A request between its arrival and its end.
 
     ``finished`` means that its caller has the final answer, while the
@@ -80,44 +80,44 @@
     """Return the actions for one event of a request service."""
     match event:
         case RequestArrived():
-            return _arrived(state, event)
+            return _handle_request(state, event)
         case TargetAnswered():
-            return _answered(state, event)
+            return _handle_answer(state, event)
         case TargetRefused():
-            return _refused(state, event)
+            return _handle_refusal(state, event)
         case RequestLost():
-            return _lost(state, event)
+            return _handle_connection_loss(state, event)
         case CancelArrived():
-            return _cancelled(state, event)
+            return _handle_cancel(state, event)
         case FlowAsked():
-            return _flow_asked(state, event)
+            return _handle_open(state, event)
         case KeepaliveArrived():
-            return _keepalive(state, event)
+            return _handle_keepalive(state, event)
         case CloseArrived():
             state.flows.remove(event.nonce)
             return []
         case Tick():
-            return _tick(state, event.now_ms)
+            return _handle_tick(state, event.now_ms)
     raise TypeError(f'unknown event {event!r}')
 
 
-def _flow_asked(state, event):
-    again = grant_again(state, event)
+def _handle_open(state, event):
+    again = regrant_flow(state, event)
     if again is not None:
         return [again]
     if state.flows.is_full():
         return refuse_flow(event, Reason.FLOW_LIMIT)
     flow = new_flow(event)
     state.flows.add(flow)
-    return [grant(flow)]
+    return [grant_flow(flow)]
 
 
-def _keepalive(state, event):
-    flow = touch(state, event)
+def _handle_keepalive(state, event):
+    flow = refresh_flow(state, event)
     if flow is None:
         return [CountRefusal(Reason.FLOW_UNKNOWN)]
     # The caller asks for a sign of life before it commits a request.
-    return _rebind_if_leaving(state, flow) or [grant(flow)]
+    return _rebind_if_leaving(state, flow) or [grant_flow(flow)]
 
 
 def _rebind_if_leaving(state, flow):
@@ -133,17 +133,17 @@
     ]
 
 
-def _arrived(state, event):
-    flow = touch(state, event)
+def _handle_request(state, event):
+    flow = refresh_flow(state, event)
     if flow is None:
         return [CountRefusal(Reason.FLOW_UNKNOWN)]
     if flow.window is None:
         flow.window = Window()
     claim = flow.window.claim(event.number)
     if claim is not Claim.NEW:
-        return _arrived_again(state, flow, event.number, claim)
+        return _handle_duplicate(state, flow, event.number, claim)
     request = _make_pending(state, flow, event)
-    reason = _admission_problem(state, request, event.now_ms)
+    reason = _check_admission(state, request, event.now_ms)
     if reason is not None:
         return _refuse(state, request, reason, event.now_ms)
     actions = _rebind_if_leaving(state, flow)
@@ -151,7 +151,7 @@
     return actions + _dispatch(state, flow.service.pool_key, event.now_ms)
 
 
-def _arrived_again(state, flow, number, claim):
+def _handle_duplicate(state, flow, number, claim):
     key = (flow.nonce, number)
     if key in state.by_number:
         return []
@@ -174,7 +174,7 @@
 def _make_pending(state, flow, event):
     limit_ms = flow.service.deadline_ms
     deadline_ms = min(event.deadline_ms or limit_ms, limit_ms)
-    request = Pending(
+    request = PendingRequest(
         request_id=state.next_request_id,
         nonce=flow.nonce,
         service=flow.service,
@@ -189,7 +189,7 @@
     return request
 
 
-def _admission_problem(state, request, now_ms):
+def _check_admission(state, request, now_ms):
     """Return why a request cannot be taken, or None."""
     pool_state = state.pool_state(request.service.pool_key)
     pool = pool_state.pool
@@ -211,13 +211,13 @@
     actions = []
     if queue.waiting(priority) >= max(1, request.service.max_queue):
         return _refuse(state, request, Reason.QUEUE_FULL, now_ms)
-    if len(queue) >= _total_bound(request.service):
+    if len(queue) >= _get_pool_queue_limit(request.service):
         displaced = queue.displace(priority)
         if displaced is None:
             return _refuse(state, request, Reason.QUEUE_FULL, now_ms)
         reason = Reason.DISPLACED_BY_URGENT
         actions = _refuse(state, displaced, reason, now_ms)
-    pool_state.budget.earn()
+    pool_state.retry_budget.earn()
     state.pending[request.request_id] = request
     state.by_number[request.nonce, request.number] = request.request_id
     heappush(state.deadlines, (request.deadline_at_ms, request.request_id))
@@ -225,7 +225,7 @@
     return actions
 
 
-def _total_bound(service):
+def _get_pool_queue_limit(service):
     # All classes of a pool together hold twice what one service may.
     return 2 * max(1, service.max_queue)
 
@@ -289,20 +289,22 @@
     outcome = Outcome(
         verdict,
         reason=reason,
-        retry_after_ms=_retry_after_ms(state, request.service, now_ms),
+        retry_after_ms=_estimate_retry_after_ms(
+            state, request.service, now_ms
+        ),
     )
     reply = _finish(state, request, outcome, now_ms)
     return [CountRefusal(reason), reply]
 
 
-def _retry_after_ms(state, service, now_ms):
+def _estimate_retry_after_ms(state, service, now_ms):
     pool_state = state.pool_state(service.pool_key)
     ahead = pool_state.queue.ahead(service.priority)
     wait_ms = pool_state.pool.wait_ms(ahead, now_ms)
-    return int(min(MAX_RETRY_AFTER_MS, max(RETRY_AFTER_MS, wait_ms)))
+    return int(min(MAX_RETRY_AFTER_MS, max(MIN_RETRY_AFTER_MS, wait_ms)))
 
 
-def _answered(state, event):
+def _handle_answer(state, event):
     request = state.pending.pop(event.request_id, None)
     if request is None:
         return []
@@ -327,7 +329,7 @@
     return actions + _dispatch(state, service.pool_key, event.now_ms)
 
 
-def _refused(state, event):
+def _handle_refusal(state, event):
     request = state.pending.get(event.request_id)
     if request is None:
         return []
@@ -336,11 +338,11 @@
     target = pool_state.pool.finished(request.target, now_ms)
     if target is not None and not event.cancelled:
         target.capacity.shed(request.start.level, now_ms)
-    actions = _after_refusal(state, pool_state, request, event)
+    actions = _retry_or_refuse(state, pool_state, request, event)
     return actions + _dispatch(state, request.service.pool_key, now_ms)
 
 
-def _after_refusal(state, pool_state, request, event):
+def _retry_or_refuse(state, pool_state, request, event):
     now_ms = event.now_ms
     if request.finished:
         del state.pending[request.request_id]
@@ -358,7 +360,7 @@
         return False
     if now_ms >= request.deadline_at_ms:
         return False
-    return pool_state.budget.spend()
+    return pool_state.retry_budget.spend()
 
 
 def _requeue(pool_state, request, reason):
@@ -367,7 +369,7 @@
     return [CountRetry(reason)]
 
 
-def _lost(state, event):
+def _handle_connection_loss(state, event):
     request = state.pending.get(event.request_id)
     if request is None:
         return []
@@ -379,14 +381,16 @@
         del state.pending[request.request_id]
         actions = []
     elif not event.written or request.service.repeatable:
-        actions = _after_loss(state, pool_state, request, event)
+        actions = _retry_or_fail(state, pool_state, request, event)
     else:
-        actions = _in_doubt(state, request, Reason.TARGET_LOST, now_ms)
+        actions = _answer_may_have_run(
+            state, request, Reason.TARGET_LOST, now_ms
+        )
         state.pending.pop(request.request_id, None)
     return actions + _dispatch(state, request.service.pool_key, now_ms)
 
 
-def _after_loss(state, pool_state, request, event):
+def _retry_or_fail(state, pool_state, request, event):
     reason = Reason.RETRY_NOT_WRITTEN
     if event.written:
         request.may_have_run = True
@@ -399,13 +403,13 @@
     return [spent, *_refuse(state, request, lost, event.now_ms)]
 
 
-def _in_doubt(state, request, reason, now_ms):
+def _answer_may_have_run(state, request, reason, now_ms):
     outcome = Outcome(Verdict.MAY_HAVE_RUN, reason=reason)
     reply = _finish(state, request, outcome, now_ms)
     return [CountRefusal(reason), reply]
 
 
-def _cancelled(state, event):
+def _handle_cancel(state, event):
     flow = state.flows.get(event.nonce)
     if flow is None:
         return []
@@ -413,7 +417,7 @@
         flow.window = Window()
     request_id = state.by_number.get((event.nonce, event.number))
     if request_id is None:
-        return _cancelled_early(state, flow, event)
+        return _cancel_before_arrival(state, flow, event)
     request = state.pending[request_id]
     if request.target:
         return [SendCancel(request.target, request_id)]
@@ -422,7 +426,7 @@
     return _refuse(state, request, Reason.CANCELLED, event.now_ms)
 
 
-def _cancelled_early(state, flow, event):
+def _cancel_before_arrival(state, flow, event):
     """Close the number of a request that has not arrived yet."""
     if flow.window.claim(event.number) is not Claim.NEW:
         return []
@@ -433,19 +437,19 @@
     return _refuse(state, request, Reason.CANCELLED, event.now_ms)
 
 
-def _tick(state, now_ms):
+def _handle_tick(state, now_ms):
     actions = []
-    for request_id in due(state.deadlines, now_ms):
+    for request_id in pop_due(state.deadlines, now_ms):
         request = state.pending.get(request_id)
         if request is not None:
-            actions += _deadline_passed(state, request, now_ms)
+            actions += _handle_deadline(state, request, now_ms)
     state.answers.expire(now_ms)
     for key in list(state.pools):
         actions += _dispatch(state, key, now_ms)
     return actions
 
 
-def _deadline_passed(state, request, now_ms):
+def _handle_deadline(state, request, now_ms):
     pool_state = state.pool_state(request.service.pool_key)
     if not request.target:
         pool_state.queue.remove(request.service.priority, request)
@@ -456,8 +460,10 @@
         pool_state.pool.finished(request.target, now_ms)
         return []
     pool_state.pool.failed(request.target, now_ms)
-    silent_at_ms = now_ms + SILENCE_MS
+    silent_at_ms = now_ms + SLOT_GRACE_MS
     heappush(state.deadlines, (silent_at_ms, request.request_id))
     cancel = SendCancel(request.target, request.request_id)
-    doubt = _in_doubt(state, request, Reason.DEADLINE_PASSED, now_ms)
-    return [cancel, *doubt]
+    refusal = _answer_may_have_run(
+        state, request, Reason.DEADLINE_PASSED, now_ms
+    )
+    return [cancel, *refusal]
--- a/src/liftmount/_internal/decisions/rollout.py
+++ b/src/liftmount/_internal/decisions/rollout.py
@@ -33,7 +33,7 @@
 from liftmount._internal.utils.documents import structure
 
 DIGEST_BYTES = 8
-LEAVING = 'leaving'
+LEAVING_STATE = 'leaving'
 
 
 def target_name(team: str, name: str) -> str:
@@ -49,7 +49,7 @@
     return parse
 
 
-def _parse_any(kind):
+def _parse_as(kind):
     def parse(document, source):
         return structure(document, kind, source)
 
@@ -59,11 +59,11 @@
 _PARSERS = {
     ObjectKind.TEMPLATE.value: _parse_written(parse_template),
     ObjectKind.TEAM.value: _parse_written(parse_team),
-    ObjectKind.FLOW_KEY.value: _parse_any(FlowKeys),
-    ObjectKind.CLAIM.value: _parse_any(Claim),
-    ObjectKind.DRAIN.value: _parse_any(Drain),
-    ObjectKind.EVACUATION.value: _parse_any(Evacuation),
-    ObjectKind.INSTANCE.value: _parse_any(InstanceEntry),
+    ObjectKind.FLOW_KEY.value: _parse_as(FlowKeys),
+    ObjectKind.CLAIM.value: _parse_as(Claim),
+    ObjectKind.DRAIN.value: _parse_as(Drain),
+    ObjectKind.EVACUATION.value: _parse_as(Evacuation),
+    ObjectKind.INSTANCE.value: _parse_as(InstanceEntry),
 }
 
 
@@ -92,18 +92,18 @@
         if known is not None:
             if item.version <= known.version:
                 return False
-            self._mix(known)
+            self._update_digest(known)
         self.objects[item.key] = item
-        self._mix(item)
+        self._update_digest(item)
         self._parse(item)
         return True
 
-    def _mix(self, item):
+    def _update_digest(self, item):
         # Each failure domain reads the instance list for itself, so it is
         # not part of what all must hold alike.
         if item.kind == ObjectKind.INSTANCE.value:
             return
-        self._digest ^= _hash(item)
+        self._digest ^= _hash_version(item)
         self.revision = max(self.revision, item.version)
 
     def _parse(self, item):
@@ -150,7 +150,7 @@
         return self._by_kind.get(kind.value, {})
 
 
-def _hash(item):
+def _hash_version(item):
     text = f'{item.key}@{item.version}'.encode()
     digest = blake2b(text, digest_size=DIGEST_BYTES).digest()
     return int.from_bytes(digest, 'big')
@@ -199,11 +199,11 @@
         if name in self.drained:
             return True
         entry = self.instances.get(name)
-        return entry is not None and entry.state == LEAVING
+        return entry is not None and entry.state == LEAVING_STATE
 
 
 @define
-class _Resolved:
+class _ResolvedTeam:
     """What follows from one team and its template alone."""
 
     team: Team
@@ -213,7 +213,7 @@
     pools: dict[str, list[Target]] = Factory(dict)
     pool_domains: dict[str, frozenset] = Factory(dict)
     locations: dict[str, Endpoint] = Factory(dict)
-    granted: dict[str, tuple] = Factory(dict)
+    granted_services: dict[str, tuple] = Factory(dict)
 
 
 @define
@@ -253,18 +253,18 @@
         if cached and cached.team is team and cached.template is template:
             return cached
         try:
-            services = _fit(team, template, f'team/{name}')
+            services = _resolve_team_services(team, template, f'team/{name}')
         except ConfigurationError as error:
             # The team as it last fitted its template stays in force.
-            last = cached or _Resolved(team, None)
+            last = cached or _ResolvedTeam(team, None)
             return evolve(last, problems=error.problems)
-        resolved = _Resolved(team, template, services)
-        _sort_into_pools(resolved)
+        resolved = _ResolvedTeam(team, template, services)
+        _group_targets(resolved)
         self._cache[name] = resolved
         return resolved
 
 
-def _fit(team, template, source):
+def _resolve_team_services(team, template, source):
     if template is None:
         text = 'there is no such template'
         problem = Problem(source, 'template', repr(team.template), text)
@@ -272,7 +272,7 @@
     return resolve_services(team, template, source)
 
 
-def _sort_into_pools(resolved):
+def _group_targets(resolved):
     for target in resolved.team.targets:
         key = f'{resolved.team.name}/{target.pool}'
         resolved.pools.setdefault(key, []).append(target)
@@ -290,8 +290,8 @@
         return
     if (claim.team, claim.service) != (service.team, service.name):
         return
-    known = resolved.granted.get(service.name)
+    known = resolved.granted_services.get(service.name)
     if known is None or known[0] is not claim:
         granted = evolve(service, generation=claim.generation)
-        known = resolved.granted[service.name] = (claim, granted)
+        known = resolved.granted_services[service.name] = (claim, granted)
     view.services[address] = known[1]
--- a/src/liftmount/_internal/decisions/routing.py
+++ b/src/liftmount/_internal/decisions/routing.py
@@ -34,7 +34,7 @@
 
 MAX_HOPS = 2
 MAX_HOPS_BY_KEY = 3
-OWNERS_ASKED = 3
+MAX_OWNERS_TRIED = 3
 RETRY_AFTER_MS = 250
 
 
@@ -109,7 +109,7 @@
             token = open_token(state.ring, event.packet.token)
         except TokenError as error:
             return RefusePacket(error.reason, answer=True)
-        if _mismatch(token, service) is None:
+        if _find_mismatch(token, service) is None:
             target = token.target
             target_incarnation = token.target_incarnation
     owner = state.owner(service)
@@ -122,7 +122,7 @@
     return HandleOpen(service, target, target_incarnation)
 
 
-def _mismatch(token, service):
+def _find_mismatch(token, service):
     """Return why a token does not fit the address it came to."""
     if (token.team, token.service) != (service.team, service.name):
         return Reason.TOKEN_OTHER_SERVICE
@@ -138,24 +138,24 @@
         token = open_token(state.ring, event.packet.token)
     except TokenError as error:
         return RefusePacket(error.reason, answer=True)
-    reason = _mismatch(token, service)
+    reason = _find_mismatch(token, service)
     if reason is not None:
         return RefusePacket(reason, answer=True)
     if token.home == state.name:
         if token.home_incarnation == state.incarnation:
             return HandleAsHome(service, token.nonce)
-        return _without_home(state, event, service, token)
+        return _route_without_home(state, event, service, token)
     peer = state.peers.get(token.home)
     if peer is None or peer.incarnation != token.home_incarnation:
-        return _without_home(state, event, service, token)
+        return _route_without_home(state, event, service, token)
     if not peer.reachable:
-        return _without_home(state, event, service, token)
+        return _route_without_home(state, event, service, token)
     if event.hops >= MAX_HOPS:
         return RefusePacket(Reason.TOO_MANY_HOPS)
     return PassToPeer(token.home)
 
 
-def _without_home(state, event, service, token):
+def _route_without_home(state, event, service, token):
     """Handle a packet whose home is dead, cut off or started anew.
 
     A stream needs no sequencer, so the pool's owner takes it over from
@@ -192,7 +192,7 @@
         for one in rank(service.pool_key, eligible | {state.name})
         if one not in order
     ]
-    order = order[:OWNERS_ASKED]
+    order = order[:MAX_OWNERS_TRIED]
     if event.hops == 0 and order[0] != state.name:
         return PassToPeer(order[0])
     if event.hops >= MAX_HOPS_BY_KEY or state.name not in order:
--- a/src/liftmount/_internal/decisions/streams.py
+++ b/src/liftmount/_internal/decisions/streams.py
@@ -5,12 +5,12 @@
 a planned change moves it before anything is cut.
 """
 
-from liftmount._internal.decisions.home import grant
-from liftmount._internal.decisions.home import grant_again
+from liftmount._internal.decisions.home import grant_flow
 from liftmount._internal.decisions.home import HomeState
 from liftmount._internal.decisions.home import new_flow
+from liftmount._internal.decisions.home import refresh_flow
 from liftmount._internal.decisions.home import refuse_flow
-from liftmount._internal.decisions.home import touch
+from liftmount._internal.decisions.home import regrant_flow
 from liftmount._internal.models.actions import AskToRebind
 from liftmount._internal.models.actions import AttachStream
 from liftmount._internal.models.actions import CountRefusal
@@ -26,33 +26,33 @@
 
 # A caller that still lacks a push this long after it was handed out has
 # lost it; a keepalive just under way says nothing yet.
-REPAIR_AFTER_MS = 60
+RESEND_AFTER_MS = 60
 
 
 def decide(state: HomeState, event) -> list:
     """Return the actions for one event of a stream service."""
     match event:
         case PushArrived():
-            return _pushed(state, event)
+            return _handle_push(state, event)
         case KeepaliveArrived():
-            return _keepalive(state, event)
+            return _handle_keepalive(state, event)
         case FlowAsked():
-            return _flow_asked(state, event)
+            return _handle_open(state, event)
         case StreamLost():
-            return _lost(state, event)
+            return _handle_connection_loss(state, event)
         case CloseArrived():
-            return _closed(state, event.nonce)
+            return _close_stream(state, event.nonce)
     raise TypeError(f'unknown event {event!r}')
 
 
-def _flow_asked(state, event):
-    again = grant_again(state, event)
+def _handle_open(state, event):
+    again = regrant_flow(state, event)
     if again is not None:
         return [again]
     if state.flows.is_full():
         return refuse_flow(event, Reason.FLOW_LIMIT)
     pool = state.pool_state(event.service.pool_key).pool
-    target = _kept_target(pool, event)
+    target = _find_kept_target(pool, event)
     if target is None:
         target = pool.choose_for_stream(event.now_ms)
     if target is None:
@@ -60,10 +60,10 @@
     flow = new_flow(event, target.name, target.incarnation)
     state.flows.add(flow)
     target.open_streams += 1
-    return [grant(flow), _attach(flow)]
+    return [grant_flow(flow), _attach(flow)]
 
 
-def _kept_target(pool, event):
+def _find_kept_target(pool, event):
     """Return the target that the stream had, while it may stay there."""
     target = pool.targets.get(event.target)
     if target is None or target not in pool.usable(event.now_ms):
@@ -79,18 +79,18 @@
         nonce=flow.nonce,
         service=flow.service,
         name=flow.name,
-        sequence=flow.acknowledged,
+        sequence=flow.acknowledged_sequence,
     )
 
 
-def _pushed(state, event):
+def _handle_push(state, event):
     flow = state.flows.get(event.nonce)
     if flow is None:
         return [DetachStream(event.target, event.nonce)]
     if flow.target != event.target:
         return []
-    flow.pushed = max(flow.pushed, event.sequence)
-    flow.pushed_ms = event.now_ms
+    flow.pushed_sequence = max(flow.pushed_sequence, event.sequence)
+    flow.last_pushed_ms = event.now_ms
     push = SendPush(
         caller=flow.caller,
         address=flow.service.address,
@@ -101,18 +101,20 @@
     return [push]
 
 
-def _keepalive(state, event):
-    flow = touch(state, event)
+def _handle_keepalive(state, event):
+    flow = refresh_flow(state, event)
     if flow is None:
         return [CountRefusal(Reason.FLOW_UNKNOWN)]
-    flow.acknowledged = max(flow.acknowledged, event.sequence)
+    flow.acknowledged_sequence = max(
+        flow.acknowledged_sequence, event.sequence
+    )
     reason = _reason_to_move(state, flow)
     actions = []
     if reason is not None:
         actions.append(_ask_to_rebind(flow, reason))
-    lacks_push = flow.acknowledged < flow.pushed
-    if lacks_push and event.now_ms - flow.pushed_ms >= REPAIR_AFTER_MS:
-        flow.pushed_ms = event.now_ms
+    lacks_push = flow.acknowledged_sequence < flow.pushed_sequence
+    if lacks_push and event.now_ms - flow.last_pushed_ms >= RESEND_AFTER_MS:
+        flow.last_pushed_ms = event.now_ms
         actions.append(_attach(flow))
     return actions
 
@@ -156,13 +158,13 @@
     return actions
 
 
-def _lost(state, event):
+def _handle_connection_loss(state, event):
     """Go on at another target, from what the caller has."""
     flow = state.flows.get(event.nonce)
     if flow is None or flow.target != event.target:
         return []
     pool = state.pool_state(flow.service.pool_key).pool
-    _release(pool, flow)
+    _release_target(pool, flow)
     pool.failed(flow.target, event.now_ms)
     target = pool.choose_for_stream(event.now_ms, avoid=(flow.target,))
     if target is None:
@@ -177,10 +179,10 @@
     flow.target_incarnation = target.incarnation
     target.open_streams += 1
     retry = CountRetry(Reason.RETRY_CONNECTION_LOST)
-    return [retry, grant(flow), _attach(flow)]
+    return [retry, grant_flow(flow), _attach(flow)]
 
 
-def _release(pool, flow):
+def _release_target(pool, flow):
     target = pool.targets.get(flow.target)
     if target is None:
         return
@@ -188,20 +190,20 @@
         target.open_streams = max(0, target.open_streams - 1)
 
 
-def _closed(state, nonce):
+def _close_stream(state, nonce):
     flow = state.flows.remove(nonce)
     if flow is None:
         return []
-    _release(state.pool_state(flow.service.pool_key).pool, flow)
+    _release_target(state.pool_state(flow.service.pool_key).pool, flow)
     return [DetachStream(flow.target, nonce)]
 
 
 def expire(state: HomeState, now_ms: int) -> list:
     """Forget idle flows of both modes."""
     actions = []
-    for flow in state.flows.idle(now_ms):
+    for flow in state.flows.find_idle(now_ms):
         if flow.service.mode == 'stream':
-            actions += _closed(state, flow.nonce)
+            actions += _close_stream(state, flow.nonce)
         else:
             state.flows.remove(flow.nonce)
     return actions
--- a/src/liftmount/_internal/decisions/token.py
+++ b/src/liftmount/_internal/decisions/token.py
@@ -19,7 +19,7 @@
 from liftmount._internal.models.reasons import Reason
 
 MAC_BYTES = 12
-_OUTER_FIELDS = 3
+_ENVELOPE_LENGTH = 3
 
 
 @frozen
@@ -44,8 +44,8 @@
     issued_wall_ms: int = 0
 
 
-_NAMES = tuple(item.name for item in fields(FlowToken))
-_FIELDS = attrgetter(*_NAMES)
+_FIELD_NAMES = tuple(item.name for item in fields(FlowToken))
+_get_field_values = attrgetter(*_FIELD_NAMES)
 
 
 @define
@@ -63,7 +63,7 @@
     """
     if ring.current is None:
         raise TokenError(Reason.NO_KEY)
-    inner = cbor2.dumps(_FIELDS(token))
+    inner = cbor2.dumps(_get_field_values(token))
     mac = _mac(ring.keys[ring.current], inner)
     return cbor2.dumps([ring.current, mac, inner])
 
@@ -77,7 +77,7 @@
         outer = cbor2.loads(data)
     except Exception as error:
         raise TokenError(Reason.TOKEN_FORGED) from error
-    if type(outer) is not list or len(outer) != _OUTER_FIELDS:
+    if type(outer) is not list or len(outer) != _ENVELOPE_LENGTH:
         raise TokenError(Reason.TOKEN_FORGED)
     key_id, mac, inner = outer
     if type(key_id) is not int or type(mac) is not bytes:
@@ -90,7 +90,7 @@
     if not compare_digest(_mac(secret, inner), mac):
         raise TokenError(Reason.TOKEN_FORGED)
     # Only key holders produce this, so later fields may safely be ignored.
-    return FlowToken(*cbor2.loads(inner)[: len(_NAMES)])
+    return FlowToken(*cbor2.loads(inner)[: len(_FIELD_NAMES)])
 
 
 def _mac(secret, inner):
--- a/src/liftmount/_internal/models/configuration.py
+++ b/src/liftmount/_internal/models/configuration.py
@@ -136,7 +136,9 @@
         prefix = f'services[{index}].'
         problems += check_fields(service, source, prefix)
         if service.name in seen:
-            problems.append(_twice(source, f'{prefix}name', service.name))
+            problems.append(
+                _make_duplicate_problem(source, f'{prefix}name', service.name)
+            )
         seen.add(service.name)
     if problems:
         raise ConfigurationError(problems)
@@ -147,26 +149,26 @@
     """Read and check a team on its own; raises ConfigurationError."""
     team = structure(document, Team, source)
     problems = check_fields(team, source)
-    problems += _target_problems(team, source)
+    problems += _check_targets(team, source)
     for name, parameters in team.services.items():
         prefix = f'services.{name}.'
-        problems += _parameter_problems(parameters, source, prefix)
+        problems += _check_parameters(parameters, source, prefix)
     seen = set()
     for name, address in team.addresses.items():
         if address in seen:
             key = f'addresses.{name}'
-            problems.append(_twice(source, key, str(address)))
+            problems.append(_make_duplicate_problem(source, key, str(address)))
         seen.add(address)
     if problems:
         raise ConfigurationError(problems)
     return team
 
 
-def _twice(source, key, value):
+def _make_duplicate_problem(source, key, value):
     return Problem(source, key, repr(value), 'is used twice')
 
 
-def _target_problems(team, source):
+def _check_targets(team, source):
     problems = []
     names = set()
     addresses = set()
@@ -174,10 +176,14 @@
         prefix = f'targets[{index}].'
         problems += check_fields(target, source, prefix)
         if target.name in names:
-            problems.append(_twice(source, f'{prefix}name', target.name))
+            problems.append(
+                _make_duplicate_problem(source, f'{prefix}name', target.name)
+            )
         if target.address in addresses:
             address = str(target.address)
-            problems.append(_twice(source, f'{prefix}address', address))
+            problems.append(
+                _make_duplicate_problem(source, f'{prefix}address', address)
+            )
         names.add(target.name)
         addresses.add(target.address)
     return problems
@@ -190,7 +196,7 @@
 }
 
 
-def _parameter_problems(parameters, source, prefix):
+def _check_parameters(parameters, source, prefix):
     problems = []
     for name, check in _PARAMETER_CHECKS.items():
         value = getattr(parameters, name)
@@ -224,13 +230,13 @@
         raise ConfigurationError(problems)
     networks = tuple(ip_network(one) for one in team.caller_prefixes)
     return [
-        _resolve(team, service, networks)
+        _resolve_service(team, service, networks)
         for service in template.services
         if service.name in team.addresses
     ]
 
 
-def _resolve(team, service, networks):
+def _resolve_service(team, service, networks):
     own = team.services.get(service.name, ServiceParameters())
 
     def choose(name):
--- a/src/liftmount/_internal/models/objects.py
+++ b/src/liftmount/_internal/models/objects.py
@@ -22,7 +22,7 @@
 
 
 # Kinds that every balancer holds, in the order of the wire.
-SPREAD_KINDS = (
+DISSEMINATED_KINDS = (
     ObjectKind.TEMPLATE,
     ObjectKind.TEAM,
     ObjectKind.FLOW_KEY,
@@ -32,7 +32,7 @@
 )
 # Words of the platform's instance list.
 BALANCER_ROLE = 'balancer'
-LIVE = 'live'
+LIVE_STATE = 'live'
 FLOW_KEY_OBJECT = 'flow-key/current'
 
 
--- a/src/liftmount/_internal/services/platform.py
+++ b/src/liftmount/_internal/services/platform.py
@@ -31,11 +31,11 @@
 from liftmount._internal.models.messages import PlatformReached
 from liftmount._internal.models.objects import BALANCER_ROLE
 from liftmount._internal.models.objects import ClaimState
+from liftmount._internal.models.objects import DISSEMINATED_KINDS
 from liftmount._internal.models.objects import DomainStatus
 from liftmount._internal.models.objects import FLOW_KEY_OBJECT
-from liftmount._internal.models.objects import LIVE
+from liftmount._internal.models.objects import LIVE_STATE
 from liftmount._internal.models.objects import ObjectKind
-from liftmount._internal.models.objects import SPREAD_KINDS
 from liftmount._internal.models.reasons import Reason
 from liftmount._internal.models.records import Tick
 from liftmount._internal.store.interface import ObjectStore
@@ -107,7 +107,7 @@
         async with asyncio.TaskGroup() as group:
             group.create_task(super().run())
             group.create_task(self._step_forever())
-            for kind in SPREAD_KINDS:
+            for kind in DISSEMINATED_KINDS:
                 group.create_task(self._watch_forever(kind.value))
 
     def handle(self, message):
@@ -353,7 +353,7 @@
             for entry in self.reader.instances.values()
             if entry.role == BALANCER_ROLE
             and entry.failure_domain == domain
-            and entry.state == LIVE
+            and entry.state == LIVE_STATE
         }
         return names | set(self._local_order()) | {self.identity.name}
 
@@ -378,7 +378,7 @@
         return {
             entry.failure_domain
             for entry in self.reader.instances.values()
-            if entry.role == BALANCER_ROLE and entry.state == LIVE
+            if entry.role == BALANCER_ROLE and entry.state == LIVE_STATE
         } | {self.identity.failure_domain}
 
     def _key_is_due(self):
--- a/src/liftmount/_internal/store/instances.py
+++ b/src/liftmount/_internal/store/instances.py
@@ -6,7 +6,7 @@
 from liftmount._internal.models.feeds import StoredObject
 from liftmount._internal.models.objects import BALANCER_ROLE
 from liftmount._internal.models.objects import InstanceEntry
-from liftmount._internal.models.objects import LIVE
+from liftmount._internal.models.objects import LIVE_STATE
 from liftmount._internal.models.objects import ObjectKind
 from liftmount._internal.store.interface import ObjectStore
 from liftmount._internal.utils.documents import structure
@@ -30,5 +30,5 @@
     return {
         entry.failure_domain
         for entry in await read_instances(store)
-        if entry.role == BALANCER_ROLE and entry.state == LIVE
+        if entry.role == BALANCER_ROLE and entry.state == LIVE_STATE
     }
--- a/src/liftmount/_internal/store/reader.py
+++ b/src/liftmount/_internal/store/reader.py
@@ -9,9 +9,9 @@
 from liftmount._internal.models.feeds import Delta
 from liftmount._internal.models.feeds import Listing
 from liftmount._internal.models.feeds import StoredObject
+from liftmount._internal.models.objects import DISSEMINATED_KINDS
 from liftmount._internal.models.objects import InstanceEntry
 from liftmount._internal.models.objects import ObjectKind
-from liftmount._internal.models.objects import SPREAD_KINDS
 from liftmount._internal.store.instances import read_instance
 from liftmount._internal.store.interface import ObjectStore
 
@@ -44,7 +44,7 @@
 
     async def list_all(self) -> None:
         """Read all objects; what is missing from a list is deleted."""
-        for kind in SPREAD_KINDS:
+        for kind in DISSEMINATED_KINDS:
             listing = await self._store.list(kind.value)
             deleted = self._deleted(kind.value, listing)
             objects = [*listing.items, *deleted]
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -68,15 +68,15 @@
     Mutation(
         'streams survive: lost events are not pushed again',
         'decisions/streams.py',
-        'sequence=flow.acknowledged,',
-        'sequence=flow.pushed,',
+        'sequence=flow.acknowledged_sequence,',
+        'sequence=flow.pushed_sequence,',
         FAULTS,
         "callers' packets are lost",
     ),
     Mutation(
         'streams survive: nobody adopts or refuses them',
         'decisions/routing.py',
-        'return _without_home(state, event, service, token)',
+        'return _route_without_home(state, event, service, token)',
         'return RefusePacket(Reason.HOME_GONE)',
         FAULTS,
         'the home of firm-a is killed -- ',
@@ -156,7 +156,7 @@
     Mutation(
         'lease: taken before it has lapsed',
         'decisions/lease.py',
-        'if unmoved_ms >= event.value.duration_ms:',
+        'if unchanged_ms >= event.value.duration_ms:',
         'if True:',
         GROUP,
         'Only one of many',
