--- a/src/liftmount/_internal/decisions/admission.py
+++ b/src/liftmount/_internal/decisions/admission.py
@@ -1,7 +1,8 @@
-"""Admission: which waiting request runs next, and which must not wait.
+"""Admission queue with strict priorities and a minimum share per class.
 
-``urgent`` goes before ``normal`` and that before ``may-wait``; each lower
-class has a floor, a share of all starts that it gets while it waits.
+``urgent`` requests start before ``normal`` ones, and these before
+``may-wait``.  So that lower classes are not starved, each is guaranteed a
+share of all starts while it has requests waiting.
 """
 
 from collections import deque
@@ -10,14 +11,18 @@
 from attrs import Factory
 
 PRIORITY_CLASSES = ('urgent', 'normal', 'may-wait')
-# Share of all starts that a waiting class gets at the least.
+# Minimum share of all starts for a class with waiting requests.
 GUARANTEED_SHARES = {'normal': 0.2, 'may-wait': 0.1}
+# Starts that a class may accumulate.
 MAX_CREDIT = 1.0
 
 
 @define
 class AdmissionQueue:
-    """Requests that wait for a slot of one pool, by priority class."""
+    """Requests that wait for a slot of one pool, by priority class.
+
+    ``credit`` has the starts that each lower class has earned.
+    """
 
     queues: dict[str, deque] = Factory(
         lambda: {name: deque() for name in PRIORITY_CLASSES}
@@ -30,7 +35,7 @@
         return sum(len(queue) for queue in self.queues.values())
 
     def push(self, priority: str, item, front: bool = False) -> None:
-        """Let ``item`` wait, at the front when it already waited once."""
+        """Add ``item`` to its class, at the front if it is a retry."""
         queue = self.queues[priority]
         if front:
             queue.appendleft(item)
@@ -38,18 +43,18 @@
             queue.append(item)
 
     def ahead(self, priority: str) -> int:
-        """Return how many would run before a new item of this class."""
+        """Return how many items precede a new one of this class."""
         position = PRIORITY_CLASSES.index(priority) + 1
         return sum(
             len(self.queues[name]) for name in PRIORITY_CLASSES[:position]
         )
 
     def waiting(self, priority: str) -> int:
-        """Return how many items of one class wait."""
+        """Return how many items of one class are waiting."""
         return len(self.queues[priority])
 
     def remove(self, priority: str, item) -> bool:
-        """Take one item out; return whether it was there."""
+        """Remove an item; return whether it was waiting."""
         try:
             self.queues[priority].remove(item)
         except ValueError:
@@ -57,7 +62,10 @@
         return True
 
     def displace(self, priority: str):
-        """Return the newest item of a class below ``priority``, or None."""
+        """Remove and return the newest item of the lowest class.
+
+        Return None if all classes below ``priority`` are empty.
+        """
         for name in reversed(
             PRIORITY_CLASSES[PRIORITY_CLASSES.index(priority) + 1 :]
         ):
@@ -66,7 +74,7 @@
         return None
 
     def pop(self):
-        """Return the item to start now, or None when nothing waits."""
+        """Remove and return the next item to start, or None if empty."""
         chosen = self._choose()
         if chosen is None:
             return None
@@ -85,10 +93,10 @@
     def _credit_others(self, chosen):
         if chosen in self.credit:
             self.credit[chosen] = max(0.0, self.credit[chosen] - 1.0)
-        for name, floor in GUARANTEED_SHARES.items():
+        for name, share in GUARANTEED_SHARES.items():
             if name == chosen or not self.queues[name]:
                 continue
-            # The class earns its floor with each start of another class;
-            # relative to those starts this is floor / (1 - floor).
-            earned = self.credit[name] + floor / (1.0 - floor)
+            # Credit is earned per start of another class: a share s of all
+            # starts is s / (1 - s) of the others.
+            earned = self.credit[name] + share / (1.0 - share)
             self.credit[name] = min(MAX_CREDIT, earned)
--- a/src/liftmount/_internal/decisions/capacity.py
+++ b/src/liftmount/_internal/decisions/capacity.py
@@ -1,14 +1,15 @@
-"""Learns what one target can carry from its own answers.
-
-Nothing is read off an age, a label or a load endpoint.  What is learnt is
-how many requests a target runs side by side, its ``limit``.
-
-The proof is an overtaking.  Say a request was sent as the k-th at once,
-and j others ended before it did.  The k - 1 - j that were sent earlier and
-have not ended were ahead of it in any queue, so they were running too:
-the target runs at least k - j side by side.  This holds whatever the sizes
-of the requests, so it needs no statistics of latency.  A level without
-such a proof after enough trials is taken for a queue.
+"""Estimate the concurrency limit of one target from its answers.
+
+The estimate uses neither the target's configuration nor a load report.
+Its result is ``limit``, the number of requests that the target runs
+concurrently.  A request's level k is its position among the requests in
+progress: it is sent while k - 1 others are.
+
+A request that ends ahead of earlier ones proves concurrency.  If j others
+ended between its start and its end, then the remaining k - 1 - j were ahead
+of it in any queue and still ran, so the target runs at least k - j at once.
+This holds for any mix of request sizes and needs no latency statistics.  A
+level without such a proof after enough trials counts as queueing.
 """
 
 from math import exp
@@ -18,36 +19,38 @@
 
 INITIAL_LIMIT = 1
 MAX_LIMIT = 1_024
-# Trials at a level without a proof, before it is taken for a queue.
+# Answers above the limit without a proof that lower the ceiling; fewer are
+# needed if it was lowered before.
 TRIALS_TO_DISPROVE = 24
-# A level that was disproved before needs fewer to be disproved again.
 TRIALS_TO_DISPROVE_AGAIN = 8
+# How long a ceiling holds; doubled each time until the limit rises.
 MIN_CEILING_MS = 10_000
 MAX_CEILING_MS = 160_000
+# Weights of a new sample in the moving averages.
 LATENCY_WEIGHT = 0.1
 SHED_WEIGHT = 0.1
-# Sheds at a level mean that it does not fit if they are the rule there
-# and rare below; sheds at all levels have another cause.  The shares lie
-# far enough apart that chance alone does not bridge them.
+# The limit is lowered to the level below when nearly all requests are shed
+# at a level and few below it; shedding at all levels has another cause.
 MIN_SHED_SHARE_AT_LEVEL = 0.85
 MAX_SHED_SHARE_BELOW = 0.4
-# A target that shares its processor among all requests proves any level,
-# but gets slower.  Above this multiple of its best mean latency no higher
-# level is taken for proven; the best fades, so that a target which has
-# become slower for good may be proven anew.
+# A target that shares its processor among all requests proves any level but
+# slows down: above this multiple of its best mean latency, no higher level
+# is proven.
 MAX_SLOWDOWN = 2.5
+# Growth of the best mean latency per answer, so that a target that became
+# slower for good can be proven again.
 BEST_LATENCY_GROWTH = 1.001
 
 
 @define
 class _Latency:
-    """Latency of one service: fading mean, and the best such mean."""
+    """Moving average of a service's latency, and its best value."""
 
     mean_ms: float
     best_ms: float
 
     def add(self, latency_ms: float) -> None:
-        """Note a latency."""
+        """Add a sample."""
         change_ms = (latency_ms - self.mean_ms) * LATENCY_WEIGHT
         self.mean_ms = max(0.1, self.mean_ms + change_ms)
         self.best_ms = min(self.best_ms * BEST_LATENCY_GROWTH, self.mean_ms)
@@ -55,11 +58,13 @@
 
 @define
 class Capacity:
-    """The estimate for one target.
+    """The estimated concurrency of one target.
 
-    ``limit`` is proven.  ``ceiling`` is the lowest level that was
-    disproved; it is believed until ``ceiling_until_ms``.
-    ``shed_share`` maps levels to the share of requests shed there.
+    ``limit`` is the highest proven level.  ``ceiling`` is the lowest
+    disproved level and holds until ``ceiling_until_ms``; the next ceiling
+    holds for ``ceiling_length_ms``.  ``trials`` counts answers above the
+    limit without a proof.  ``shed_share`` maps each level to the share of
+    requests shed there.
     """
 
     limit: int = INITIAL_LIMIT
@@ -71,20 +76,20 @@
     shed_share: dict[int, float] = Factory(dict)
 
     def latency_ms(self, service: str) -> float | None:
-        """Return the mean latency of a service, or None when unknown."""
+        """Return the mean latency of a service, or None if unknown."""
         found = self.latencies.get(service)
         return found.mean_ms if found else None
 
     def usable_limit(self, prior: int) -> int:
-        """Return how many requests may be sent at once.
+        """Return how many requests may be in progress at once.
 
-        ``prior`` is what the pool's targets have proven as a rule; it
-        holds for this one until disproved.
+        ``prior`` is the typical limit of the pool's targets; it applies
+        to this one until it is disproved.
         """
         return max(self.limit, min(prior, self.ceiling - 1))
 
     def may_try(self, level: int, now_ms: int) -> bool:
-        """Tell whether a request may be tried at ``level``."""
+        """Return whether a request may be sent at ``level``."""
         if now_ms >= self.ceiling_until_ms:
             self.ceiling = MAX_LIMIT
         return level < self.ceiling
@@ -97,7 +102,7 @@
         latency_ms: float,
         now_ms: int,
     ) -> None:
-        """Note an answer to a request sent as the ``level``-th at once.
+        """Record the answer to a request that was sent at ``level``.
 
         ``ended_before`` others ended between its start and its end.
         """
@@ -117,7 +122,7 @@
                 self._lower_ceiling(self.limit + 1, now_ms)
 
     def shed(self, level: int, now_ms: int) -> None:
-        """Note that the ``level``-th request at once was shed."""
+        """Record that a request sent at ``level`` was shed."""
         share = self._update_shed_share(level, True)
         if level > self.limit:
             self._lower_ceiling(level, now_ms)
@@ -156,20 +161,23 @@
         self.ceiling_until_ms = now_ms + self.ceiling_length_ms
         doubled_ms = 2 * self.ceiling_length_ms
         self.ceiling_length_ms = min(doubled_ms, MAX_CEILING_MS)
-        for one in [key for key in self.shed_share if key > self.limit]:
-            del self.shed_share[one]
+        for stale in [key for key in self.shed_share if key > self.limit]:
+            del self.shed_share[stale]
 
 
 @define
 class BusyShare:
-    """How busy a target was of late: slots in use, fading over time."""
+    """Exponentially decaying average of a target's slots in use.
+
+    ``fade_ms`` is the time constant of the decay.
+    """
 
     fade_ms: float
     busy: float = 0.0
     updated_ms: int = 0
 
     def update(self, in_progress: int, now_ms: int) -> float:
-        """Account for ``in_progress`` since the last update."""
+        """Return the average with ``in_progress`` since the last update."""
         elapsed_ms = now_ms - self.updated_ms
         if elapsed_ms > 0:
             self.busy = decay_mean(
@@ -182,6 +190,6 @@
 def decay_mean(
     mean: float, value: float, elapsed_ms: float, fade_ms: float
 ) -> float:
-    """Return a mean after ``value`` held for ``elapsed_ms``."""
+    """Return a decaying mean after ``value`` held for ``elapsed_ms``."""
     kept = exp(-elapsed_ms / fade_ms)
     return mean * kept + value * (1.0 - kept)
--- a/src/liftmount/_internal/decisions/claims.py
+++ b/src/liftmount/_internal/decisions/claims.py
@@ -1,8 +1,9 @@
-"""Addresses change hands with a gap between the old and the new owner.
+"""Transfer of addresses between services.
 
-An address is released everywhere before it is granted anywhere: the claim
-goes from ``held`` to ``releasing``, and to its new owner only once every
-live balancer of every failure domain has the release in force.
+A claim assigns an address to one service.  An address is released on every
+balancer before it is granted to another service: its claim goes from
+``held`` to ``releasing``, and to the new service once all live balancers of
+all failure domains have applied the release.
 """
 
 from attrs import frozen
@@ -15,7 +16,7 @@
 
 @frozen
 class WriteClaim:
-    """Write a claim if its version still is ``expected_version``."""
+    """Write a claim if its version is still ``expected_version``."""
 
     address: str
     claim: Claim
@@ -24,7 +25,10 @@
 
 @frozen
 class ClaimConflict:
-    """Two services ask for one address."""
+    """Several services are configured with the same address.
+
+    ``holder`` and ``others`` have the form ``team/service``.
+    """
 
     address: str
     holder: str
@@ -34,10 +38,10 @@
 def in_force(
     version: int, statuses: list[DomainStatus], domains: set[str]
 ) -> bool:
-    """Tell whether all balancers of all ``domains`` hold ``version``.
+    """Return whether all balancers of all ``domains`` hold ``version``.
 
-    A domain without a status, as one that is cut off, is not counted as
-    having it.
+    A domain without a status, such as a disconnected one, does not count
+    as holding it.
     """
     reported = {
         status.failure_domain
@@ -53,7 +57,7 @@
     statuses: list[DomainStatus],
     domains: set[str],
 ) -> list:
-    """Return the claims to be written, and the conflicts.
+    """Return the claims to write, and the conflicts.
 
     ``claims`` maps each address to the version and content of its claim.
     """
@@ -67,7 +71,9 @@
 
 
 def _decide_address(address, services, known, statuses, domains):
-    ordered = sorted(services, key=lambda one: (one.team, one.name))
+    ordered = sorted(
+        services, key=lambda service: (service.team, service.name)
+    )
     if known is None:
         claim = _make_held_claim(ordered[0], 1)
         return [
@@ -81,8 +87,10 @@
             return []
         grant = _make_held_claim(ordered[0], claim.generation + 1)
         return [WriteClaim(address, grant, version)]
-    if any((one.team, one.name) == holder for one in ordered):
-        ordered.sort(key=lambda one: (one.team, one.name) != holder)
+    if any((service.team, service.name) == holder for service in ordered):
+        ordered.sort(
+            key=lambda service: (service.team, service.name) != holder
+        )
         return _find_conflict(address, ordered)
     released = Claim(
         team=claim.team,
@@ -100,5 +108,5 @@
 def _find_conflict(address, ordered):
     if len(ordered) < 2:
         return []
-    names = tuple(f'{one.team}/{one.name}' for one in ordered)
+    names = tuple(f'{service.team}/{service.name}' for service in ordered)
     return [ClaimConflict(address, names[0], names[1:])]
--- a/src/liftmount/_internal/decisions/flows.py
+++ b/src/liftmount/_internal/decisions/flows.py
@@ -1,4 +1,4 @@
-"""The flows whose home is this balancer."""
+"""The table of flows whose home is this balancer."""
 
 from attrs import define
 from attrs import Factory
@@ -15,8 +15,9 @@
 class Flow:
     """One flow at its home.
 
-    ``acknowledged_sequence`` and ``pushed_sequence`` are sequence numbers of a stream: what
-    the caller has, and the highest handed to it.
+    ``name`` is the name of a stream, ``acknowledged_sequence`` the last
+    sequence number that its caller confirmed, and ``pushed_sequence`` the
+    highest one sent to the caller.
     """
 
     nonce: int
@@ -35,7 +36,11 @@
 
 @define
 class FlowTable:
-    """Flows by nonce, and by caller and flow id."""
+    """Flows by nonce, and by caller and flow id.
+
+    Holds at most ``max_flows``.  A flow is idle ``idle_ms`` after its last
+    packet, a stream after at most ``STREAM_IDLE_MS``.
+    """
 
     max_flows: int
     idle_ms: int
@@ -47,25 +52,25 @@
         return len(self.flows)
 
     def is_full(self) -> bool:
-        """Tell whether no further flow is taken."""
+        """Return whether the table has no room for another flow."""
         return len(self.flows) >= self.max_flows
 
     def add(self, flow: Flow) -> None:
-        """Take a new flow."""
+        """Add a new flow."""
         self.flows[flow.nonce] = flow
         self.by_key[flow.caller, flow.flow_id] = flow.nonce
 
     def get(self, nonce: int) -> Flow | None:
-        """Return the flow of a nonce, or None when unknown here."""
+        """Return the flow with a nonce, or None if there is none."""
         return self.flows.get(nonce)
 
     def find(self, caller: Endpoint, flow_id: bytes) -> Flow | None:
-        """Return the newest flow that a caller opened under an id."""
+        """Return the newest flow that a caller opened with ``flow_id``."""
         nonce = self.by_key.get((caller, flow_id))
         return None if nonce is None else self.flows.get(nonce)
 
     def remove(self, nonce: int) -> Flow | None:
-        """Forget a flow; its token is refused from now on."""
+        """Remove and return a flow; its token is refused from now on."""
         flow = self.flows.pop(nonce, None)
         if flow is None:
             return None
@@ -75,7 +80,7 @@
         return flow
 
     def update_caller(self, flow: Flow, caller: Endpoint) -> None:
-        """Note that a caller now sends from another address."""
+        """Record the address that a flow's caller now sends from."""
         if flow.caller == caller:
             return
         old_key = (flow.caller, flow.flow_id)
@@ -85,7 +90,10 @@
         self.by_key[caller, flow.flow_id] = flow.nonce
 
     def find_idle(self, now_ms: int) -> list[Flow]:
-        """Return idle flows among the next slice to be checked."""
+        """Return the idle flows among the next ``MAX_IDLE_CHECKS``.
+
+        Successive calls cover the whole table.
+        """
         if not self._to_check:
             self._to_check = list(self.flows)
         found = []
--- a/src/liftmount/_internal/decisions/home.py
+++ b/src/liftmount/_internal/decisions/home.py
@@ -1,7 +1,15 @@
-"""The home of flows: everything that needs state of a flow.
-
-``decide(state, event) -> actions`` for both modes of a service; requests
-are in :mod:`requests` beside this module, streams in :mod:`streams`.
+"""State of the flows whose home is this balancer.
+
+A flow's home is the balancer process that opened it.  The flow's token
+names it, so every other balancer forwards the flow's packets there.  Only
+the home holds state for the flow: it sequences the flow's requests, so that
+no copy of a request runs again, and keeps the position of a stream.  If the
+home dies, a stream continues at another balancer, and the result of
+requests in progress is unknown.
+
+This module has the state and the helpers that both modes of a service
+share.  ``decide(state, event) -> actions`` is in :mod:`requests` for
+request services and in :mod:`streams` for stream services.
 """
 
 from heapq import heappop
@@ -25,7 +33,7 @@
 
 @define
 class PoolState:
-    """A pool with the requests that wait for it."""
+    """A pool with its queue of requests and its retry budget."""
 
     pool: Pool
     queue: AdmissionQueue = Factory(AdmissionQueue)
@@ -34,10 +42,13 @@
 
 @define
 class HomeState:
-    """Everything that one balancer knows as a home.
+    """The state of one balancer process as the home of flows.
 
-    ``draining`` holds (target, incarnation) of targets that said
-    themselves that they leave.
+    ``pools`` is keyed by pool key and ``pending`` by request id.
+    ``by_number`` maps (nonce, number) to the request id, and ``deadlines``
+    is a heap of (time in ms, request id).  ``draining`` holds (target,
+    incarnation) of targets that reported themselves as draining.
+    ``leaving`` is set while this balancer shuts down.
     """
 
     flows: FlowTable
@@ -52,7 +63,7 @@
     leaving: bool = False
 
     def pool_state(self, key: str) -> PoolState:
-        """Return the state of a pool, made on first use."""
+        """Return the state of a pool, creating it on first use."""
         found = self.pools.get(key)
         if found is None:
             pool = Pool(key, failure_domain=self.failure_domain)
@@ -61,14 +72,14 @@
 
 
 def make_home_state(limits, failure_domain: str) -> HomeState:
-    """Return an empty state within the limits of the settings."""
+    """Return an empty state with the limits of the settings."""
     flows = FlowTable(limits.max_flows, limits.flow_idle_ms)
     answers = KeptAnswers(limits.answer_keep_ms, limits.answer_keep_bytes)
     return HomeState(flows, answers, failure_domain)
 
 
 def refuse_flow(event, reason: Reason) -> list:
-    """Return the actions that refuse a flow."""
+    """Return the actions that refuse to open a flow."""
     refusal = RefuseFlow(
         caller=event.caller,
         address=event.service.address,
@@ -80,7 +91,7 @@
 
 
 def regrant_flow(state: HomeState, event):
-    """Return the grant of a flow that was asked for before, or None."""
+    """Return the grant of a flow that is already open, or None."""
     known = state.flows.find(event.caller, event.flow_id)
     if known is None or known.service != event.service:
         return None
@@ -89,7 +100,7 @@
 
 
 def refresh_flow(state: HomeState, event) -> Flow | None:
-    """Note that a flow was heard of; None when it is not known here."""
+    """Update a flow's last use and address; return None if unknown."""
     flow = state.flows.get(event.nonce)
     if flow is not None:
         flow.last_seen_ms = event.now_ms
@@ -98,7 +109,7 @@
 
 
 def new_flow(event, target: str = '', incarnation: int = 0) -> Flow:
-    """Return the flow that ``event`` asks for."""
+    """Return the flow that ``event`` asks to open."""
     return Flow(
         nonce=event.nonce,
         service=event.service,
@@ -114,7 +125,7 @@
 
 
 def grant_flow(flow: Flow) -> GrantFlow:
-    """Return the action that gives a caller its token."""
+    """Return the action that sends a caller its token."""
     return GrantFlow(
         caller=flow.caller,
         service=flow.service,
@@ -126,6 +137,6 @@
 
 
 def pop_due(deadlines: list, now_ms: int):
-    """Yield the ids whose deadline has passed, in order."""
+    """Remove and yield the ids whose deadline has passed, in order."""
     while deadlines and deadlines[0][0] <= now_ms:
         yield heappop(deadlines)[1]
--- a/src/liftmount/_internal/decisions/keys.py
+++ b/src/liftmount/_internal/decisions/keys.py
@@ -1,7 +1,7 @@
-"""Rotation of the keys that seal flow tokens.
+"""Rotation of the keys that authenticate flow tokens.
 
-A new key is spread first and used only once every balancer can open its
-tokens; an old one goes on opening tokens for longer than any flow lasts.
+A new key is distributed first and seals tokens only once every balancer
+holds it.  An old key opens tokens for longer than any flow lasts.
 """
 
 from attrs import evolve
@@ -14,7 +14,7 @@
 
 @frozen
 class RotationTimes:
-    """Age at which a key is replaced, and how long it opens tokens."""
+    """Age at which a key is replaced, and how long it still opens tokens."""
 
     rotation_ms: int
     overlap_ms: int
@@ -27,15 +27,15 @@
     secret_hex: str,
     wall_ms: int,
 ) -> FlowKeys | None:
-    """Return the keys to be written, or None when nothing is due.
+    """Return the keys to write, or None if there is nothing to change.
 
     ``secret_hex`` is fresh random material for a new key, and
-    ``is_in_force`` tells whether every balancer holds ``keys``.
+    ``is_in_force`` is whether every balancer holds ``keys``.
     """
     if keys is None:
         first = FlowKey(1, secret_hex, wall_ms)
         return FlowKeys(current=1, keys=[first])
-    newest = max(keys.keys, key=lambda one: one.id)
+    newest = max(keys.keys, key=lambda key: key.id)
     if newest.id != keys.current:
         return evolve(keys, current=newest.id) if is_in_force else None
     if wall_ms - newest.created_wall_ms < times.rotation_ms:
@@ -48,21 +48,21 @@
 def _select_opening_keys(keys, overlap_ms, wall_ms):
     """Return the keys that sealed a token within the overlap.
 
-    A key sealed its last token when its successor came.
+    A key seals tokens until its successor is created.
     """
-    ordered = sorted(keys, key=lambda one: one.id)
+    ordered = sorted(keys, key=lambda key: key.id)
     kept = [
-        one
-        for one, successor in zip(ordered, ordered[1:], strict=False)
+        key
+        for key, successor in zip(ordered, ordered[1:], strict=False)
         if wall_ms - successor.created_wall_ms < overlap_ms
     ]
     return [*kept, ordered[-1]]
 
 
 def make_ring(keys: FlowKeys | None) -> KeyRing:
-    """Return the ring that opens and seals tokens."""
+    """Return the key ring for ``keys``; without keys it is empty."""
     if keys is None:
         return KeyRing()
-    secrets = {one.id: bytes.fromhex(one.secret_hex) for one in keys.keys}
+    secrets = {key.id: bytes.fromhex(key.secret_hex) for key in keys.keys}
     current = keys.current if keys.current in secrets else None
     return KeyRing(secrets, current)
--- a/src/liftmount/_internal/decisions/lease.py
+++ b/src/liftmount/_internal/decisions/lease.py
@@ -1,9 +1,10 @@
 """The lease of a failure domain, with a fencing epoch.
 
-The platform's clock and this host's need not agree: a lease of another
-holder counts as lapsed when its version has not moved for its length on
-this host's own clock.  A lease is never trusted by itself: its holder
-writes conditionally, and whoever was paused finds that its write lost.
+Clocks of different hosts are not compared: another holder's lease counts as
+expired when its version has not changed for the lease duration on this
+host's own clock.  The lease alone does not protect writes: its holder
+writes conditionally, so a write after a pause fails if another member took
+the lease meanwhile.
 """
 
 from attrs import define
@@ -17,7 +18,7 @@
 
 @frozen
 class LeaseValue:
-    """What the lease object holds."""
+    """The content of the lease object."""
 
     holder: str
     incarnation: int
@@ -28,7 +29,7 @@
 
 @frozen
 class LeaseRead:
-    """The lease object was read; ``value`` is None when there is none."""
+    """The lease object was read; ``value`` is None if it does not exist."""
 
     value: LeaseValue | None
     version: int
@@ -37,7 +38,7 @@
 
 @frozen
 class LeaseWritten:
-    """A conditional write of the lease took effect."""
+    """A conditional write, requested at ``asked_ms``, succeeded."""
 
     value: LeaseValue
     version: int
@@ -46,7 +47,7 @@
 
 @frozen
 class LeaseWriteFailed:
-    """A write of the lease lost, or its answer was lost."""
+    """A write of the lease met a conflict, or its answer was lost."""
 
 
 @frozen
@@ -56,9 +57,9 @@
 
 @frozen
 class WriteLease:
-    """Write the lease if its version still is ``expected_version``.
+    """Write the lease if its version is still ``expected_version``.
 
-    Version 0 stands for an object that does not exist.
+    Version 0 means that the object does not exist.
     """
 
     value: LeaseValue
@@ -67,7 +68,10 @@
 
 @define
 class LeaseState:
-    """What one balancer knows of the lease of its failure domain."""
+    """What one balancer knows about the lease of its failure domain.
+
+    ``version`` is -1 if the version of the lease is unknown.
+    """
 
     name: str
     incarnation: int
@@ -79,23 +83,23 @@
     next_step_ms: int = 0
 
     def is_held(self, now_ms: int) -> bool:
-        """Tell whether this process may act as holder.
+        """Return whether this process may act as the holder.
 
-        Counted from before the write was asked for, so the holder gives
-        up no later than others may take over.
+        The duration counts from when the write was requested, so the
+        holder stops no later than another member may take the lease.
         """
         return now_ms < self.held_until_ms
 
     @property
     def epoch(self) -> int:
-        """Return the fencing epoch last seen."""
+        """Return the fencing epoch last seen, or 0."""
         return self.value.epoch if self.value else 0
 
 
 def decide(state: LeaseState, event, is_candidate: bool = True) -> list:
     """Return the actions for an event.
 
-    Only a candidate takes or renews the lease.
+    Only a candidate acquires or renews the lease.
     """
     match event:
         case LeaseRead():
--- a/src/liftmount/_internal/decisions/ownership.py
+++ b/src/liftmount/_internal/decisions/ownership.py
@@ -1,8 +1,8 @@
-"""Which balancer owns a pool: rendezvous hashing over live members.
+"""Ownership of pools by rendezvous hashing over the live members.
 
-The owner opens the flows of a pool and so sees all of its load.  Only a
-hint: two balancers that disagree for a while place less evenly, and
-nothing else suffers.
+The owner opens all flows of a pool, so it knows the pool's load.  If two
+balancers disagree on the owner for a while, flows are placed less evenly;
+correctness does not depend on it.
 """
 
 from hashlib import blake2b
@@ -21,17 +21,17 @@
 
 
 def rank(key: str, members) -> list[str]:
-    """Return the members in rendezvous order, the owner first."""
-    return sorted(members, key=lambda one: score(key, one), reverse=True)
+    """Return the members in rendezvous order, highest score first."""
+    return sorted(members, key=lambda member: score(key, member), reverse=True)
 
 
 @define
 class Ownership:
-    """The owner of each pool, kept up to date member by member.
+    """The owner of each pool, updated incrementally.
 
-    ``domains`` maps each eligible member to its failure domain.  A join
-    costs one hash for each pool looked up so far; a leave costs one hash
-    per member for each pool of the leaver.
+    ``domains`` maps each eligible member to its failure domain.  Adding a
+    member costs a few hashes per pool looked up so far; removing one costs
+    a hash per member for each pool that it owned, at the next lookup.
     """
 
     domains: dict[str, str] = Factory(dict)
@@ -65,8 +65,8 @@
     def owner(self, pool: str, wanted: frozenset[str]) -> str | None:
         """Return the owner of a pool with targets in ``wanted`` domains.
 
-        Members of these domains come first, so that the owner is close
-        to the targets; None when there is no eligible member.
+        Members of these domains are preferred, so that the owner is close
+        to the targets.  Return None if no member is eligible.
         """
         known = self._owners.get(pool)
         if known is not None and known[1] == wanted:
@@ -75,7 +75,7 @@
             return None
         found = max(
             self.domains,
-            key=lambda one: self._sort_key(pool, one, wanted),
+            key=lambda member: self._sort_key(pool, member, wanted),
         )
         self._owners[pool] = (found, wanted)
         return found
--- a/src/liftmount/_internal/decisions/reassembly.py
+++ b/src/liftmount/_internal/decisions/reassembly.py
@@ -1,4 +1,4 @@
-"""Puts the pieces of a body together, within bounds."""
+"""Reassembly of bodies from pieces, with bounded memory."""
 
 from attrs import define
 from attrs import Factory
@@ -17,7 +17,7 @@
     """Bodies of which some pieces are still missing.
 
     ``max_bytes`` bounds the memory for all of them together; the oldest
-    are given up first.  A body given up is sent again by its sender.
+    are evicted first.  The sender of an evicted body sends it again.
     """
 
     max_bytes: int = 64 * 1_048_576
@@ -26,7 +26,7 @@
     _partials: dict = Factory(dict)
 
     def add(self, key, piece: int, pieces: int, body: bytes, now_ms: int):
-        """Take one piece; return the whole body once it is complete."""
+        """Add a piece; return the body if it is complete, else None."""
         if pieces == 1:
             return body
         partial = self._partials.get(key)
@@ -44,14 +44,14 @@
         return None
 
     def discard(self, key) -> None:
-        """Forget the pieces of ``key``."""
+        """Remove the pieces of ``key``."""
         partial = self._partials.pop(key, None)
         if partial is not None:
             self.size_bytes -= partial.size_bytes
 
     def expire(self, now_ms: int) -> None:
-        """Forget what has been incomplete for too long."""
-        # Insertion order is order of age.
+        """Remove bodies that are incomplete after ``keep_ms``."""
+        # Dicts keep insertion order, so the oldest comes first.
         while self._partials:
             key, partial = next(iter(self._partials.items()))
             if now_ms - partial.started_ms < self.keep_ms:
--- a/src/liftmount/_internal/decisions/requests.py
+++ b/src/liftmount/_internal/decisions/requests.py
@@ -1,9 +1,10 @@
-"""Requests at their home: numbers, admission, dispatch, verdicts.
+"""Request flows at their home: deduplication, admission, dispatch, verdicts.
 
-A request's number is closed before anything else happens, so whatever is
-decided afterwards, no copy of the request can run again.  NOT_RUN is said
-only here, and only while the request was never written to a target, or
-after the target itself said that it did not run it.
+The home is the balancer process that opened a flow and sequences its
+requests, see :mod:`home` beside this module.  Claiming a request's number
+in the flow's window is the first step, so a copy that arrives later never
+runs.  The verdict NOT_RUN is given only here: for a request that was never
+written to a target, or that the target itself reported as not run.
 """
 
 from heapq import heappush
@@ -44,18 +45,18 @@
 MAX_ATTEMPTS = 4
 MIN_RETRY_AFTER_MS = 500
 MAX_RETRY_AFTER_MS = 30_000
-# A target that neither answers nor breaks its connection holds its slot
-# this long after the deadline; then the slot is counted as lost.
+# How long after its deadline an unanswered request keeps its slot.
 SLOT_GRACE_MS = 10_000
 
 
 @define(eq=False)
 class PendingRequest:
-    """A request between its arrival and its end.
+    """A request that is queued or running on a target.
 
-    ``finished`` means that its caller has the final answer, while the
-    target may still be at work on it.  ``may_have_run`` means that an
-    earlier copy was written and its fate is not known.
+    ``finished`` means that the final answer was sent to the caller; the
+    target may still be running the request.  ``may_have_run`` means that
+    an earlier attempt was written to a target and its result is unknown.
+    ``avoid`` names the targets of earlier attempts.
     """
 
     request_id: int
@@ -102,9 +103,9 @@
 
 
 def _handle_open(state, event):
-    again = regrant_flow(state, event)
-    if again is not None:
-        return [again]
+    existing = regrant_flow(state, event)
+    if existing is not None:
+        return [existing]
     if state.flows.is_full():
         return refuse_flow(event, Reason.FLOW_LIMIT)
     flow = new_flow(event)
@@ -116,7 +117,7 @@
     flow = refresh_flow(state, event)
     if flow is None:
         return [CountRefusal(Reason.FLOW_UNKNOWN)]
-    # The caller asks for a sign of life before it commits a request.
+    # Callers probe the home with a keepalive before they send a request.
     return _rebind_if_leaving(state, flow) or [grant_flow(flow)]
 
 
@@ -190,7 +191,7 @@
 
 
 def _check_admission(state, request, now_ms):
-    """Return why a request cannot be taken, or None."""
+    """Return the reason to reject a request, or None to admit it."""
     pool_state = state.pool_state(request.service.pool_key)
     pool = pool_state.pool
     if not pool.usable(now_ms):
@@ -226,7 +227,7 @@
 
 
 def _get_pool_queue_limit(service):
-    # All classes of a pool together hold twice what one service may.
+    # For all priority classes of a pool together.
     return 2 * max(1, service.max_queue)
 
 
@@ -239,8 +240,7 @@
             break
         request = pool_state.queue.pop()
         if request.avoid:
-            # If only targets that shed it before are free, one is tried
-            # again.
+            # Prefer a target that has not been tried for this request.
             other = pool_state.pool.choose(now_ms, request.avoid)
             target = other or target
         actions.append(_send(pool_state.pool, request, target, now_ms))
@@ -262,7 +262,7 @@
 
 
 def _finish(state, request, outcome, now_ms):
-    """Give the final answer, keep it, and close the books."""
+    """Record the final answer and return the reply that carries it."""
     key = (request.nonce, request.number)
     request.finished = True
     request.body = b''
@@ -278,9 +278,9 @@
 
 
 def _refuse(state, request, reason, now_ms):
-    """Give a request up that no target has now.
+    """Reject a request that no target holds now.
 
-    This says NOT_RUN, unless an earlier copy may have run.
+    The verdict is NOT_RUN unless an earlier attempt may have run.
     """
     state.pending.pop(request.request_id, None)
     verdict = Verdict.NOT_RUN
@@ -399,8 +399,8 @@
         request.avoid += (request.target,)
         return _requeue(pool_state, request, reason)
     spent = CountRetry(Reason.RETRY_BUDGET_SPENT)
-    lost = Reason.TARGET_LOST if event.written else Reason.NO_TARGET
-    return [spent, *_refuse(state, request, lost, event.now_ms)]
+    refusal = Reason.TARGET_LOST if event.written else Reason.NO_TARGET
+    return [spent, *_refuse(state, request, refusal, event.now_ms)]
 
 
 def _answer_may_have_run(state, request, reason, now_ms):
@@ -427,7 +427,7 @@
 
 
 def _cancel_before_arrival(state, flow, event):
-    """Close the number of a request that has not arrived yet."""
+    """Claim the number of a request that has not arrived yet."""
     if flow.window.claim(event.number) is not Claim.NEW:
         return []
     arrival = RequestArrived(
@@ -455,13 +455,13 @@
         pool_state.queue.remove(request.service.priority, request)
         return _refuse(state, request, Reason.DEADLINE_PASSED, now_ms)
     if request.finished:
-        # Its target was silent for long after the deadline.
+        # The target did not answer within the grace period either.
         del state.pending[request.request_id]
         pool_state.pool.finished(request.target, now_ms)
         return []
     pool_state.pool.failed(request.target, now_ms)
-    silent_at_ms = now_ms + SLOT_GRACE_MS
-    heappush(state.deadlines, (silent_at_ms, request.request_id))
+    release_at_ms = now_ms + SLOT_GRACE_MS
+    heappush(state.deadlines, (release_at_ms, request.request_id))
     cancel = SendCancel(request.target, request.request_id)
     refusal = _answer_may_have_run(
         state, request, Reason.DEADLINE_PASSED, now_ms
--- a/src/liftmount/_internal/decisions/retry.py
+++ b/src/liftmount/_internal/decisions/retry.py
@@ -8,10 +8,10 @@
 
 @define
 class RetryBudget:
-    """Allows retries only as a share of recent first attempts.
+    """Limits retries to a share of recent first attempts.
 
-    Each first attempt earns ``share`` of a retry, up to ``burst``; so a
-    failing pool is never asked much more often than a healthy one.
+    Each first attempt earns ``share`` of a retry, up to ``burst``, so
+    retries do not multiply the load on a failing pool.
     """
 
     share: float = DEFAULT_SHARE
@@ -19,11 +19,11 @@
     credit: float = DEFAULT_BURST
 
     def earn(self) -> None:
-        """Note a first attempt."""
+        """Earn credit for a first attempt."""
         self.credit = min(self.burst, self.credit + self.share)
 
     def spend(self) -> bool:
-        """Take one retry if the budget allows it."""
+        """Spend one retry; return False if the budget has none."""
         if self.credit < 1.0:
             return False
         self.credit -= 1.0
@@ -32,14 +32,17 @@
 
 @define
 class Backoff:
-    """Exponential backoff with full jitter, in milliseconds."""
+    """Exponential backoff with equal jitter, in milliseconds.
+
+    Each delay is between half of the exponential value and all of it.
+    """
 
     first_ms: int
     longest_ms: int
     attempts: int = 0
 
     def next_ms(self, fraction: float) -> int:
-        """Return the next wait; ``fraction`` in [0, 1) is the jitter."""
+        """Return the next delay; ``fraction`` in [0, 1) is the jitter."""
         ceiling = min(self.longest_ms, self.first_ms << self.attempts)
         if ceiling < self.longest_ms:
             self.attempts += 1
--- a/src/liftmount/_internal/decisions/rollout.py
+++ b/src/liftmount/_internal/decisions/rollout.py
@@ -1,8 +1,8 @@
-"""Configuration as one balancer holds it: versions only grow.
+"""The configuration that one balancer holds, and the view built from it.
 
-The digest of all versions is compared with those of peers; whoever lacks
-something asks for the difference.  An invalid object leaves the last
-valid one in force.
+Versions of an object only grow.  Balancers compare the digest of all keys
+and versions, and request the objects that they lack.  If an object is
+invalid, its last valid content stays in force.
 """
 
 from hashlib import blake2b
@@ -37,7 +37,7 @@
 
 
 def target_name(team: str, name: str) -> str:
-    """Return the name of a target that is unique among all teams."""
+    """Return a name for a target that is unique across teams."""
     return f'{team}/{name}'
 
 
@@ -69,9 +69,11 @@
 
 @define
 class ObjectStore:
-    """The newest version of each object that this balancer has met.
+    """The newest version of each object that this balancer received.
 
-    ``valid`` holds, for each key, the newest content that was valid.
+    ``objects``, ``valid`` and ``problems`` are keyed by object key.
+    ``valid`` has the newest valid content of each object, and ``revision``
+    is the highest version of the objects in the digest.
     """
 
     objects: dict[str, StoredObject] = Factory(dict)
@@ -83,11 +85,14 @@
 
     @property
     def digest(self) -> bytes:
-        """Return a digest of the keys and versions of configuration."""
+        """Return a digest of the keys and versions of all objects.
+
+        Instance entries are not part of it.
+        """
         return self._digest.to_bytes(DIGEST_BYTES, 'big')
 
     def apply(self, item: StoredObject) -> bool:
-        """Take an object over; return False for one that is not newer."""
+        """Store an object; return False if it is not newer."""
         known = self.objects.get(item.key)
         if known is not None:
             if item.version <= known.version:
@@ -99,8 +104,8 @@
         return True
 
     def _update_digest(self, item):
-        # Each failure domain reads the instance list for itself, so it is
-        # not part of what all must hold alike.
+        # Each failure domain reads its own instance list, so the entries
+        # differ between balancers.
         if item.kind == ObjectKind.INSTANCE.value:
             return
         self._digest ^= _hash_version(item)
@@ -134,11 +139,11 @@
             raise ConfigurationError([problem])
 
     def versions(self) -> dict[str, int]:
-        """Return the version of each object, deleted ones included."""
+        """Return the version of each object, including deleted ones."""
         return {key: item.version for key, item in self.objects.items()}
 
     def newer_than(self, versions: dict[str, int]) -> list[StoredObject]:
-        """Return the objects that someone with ``versions`` lacks."""
+        """Return the objects with a higher version than in ``versions``."""
         return [
             item
             for key, item in self.objects.items()
@@ -146,7 +151,7 @@
         ]
 
     def of_kind(self, kind: ObjectKind) -> dict[str, object]:
-        """Return the valid contents of one kind, by name."""
+        """Return the valid contents of the objects of a kind, by name."""
         return self._by_kind.get(kind.value, {})
 
 
@@ -158,12 +163,14 @@
 
 @define
 class ConfigurationView:
-    """What follows from the store: who serves what, with which targets.
-
-    ``services`` has only addresses whose claim names the service.
-    ``wanted`` maps each address to the services that ask for it.
-    ``locations`` maps teams to their targets' names and addresses.
-    ``evacuated`` names failure domains whose targets get nothing new.
+    """The services, pools and targets that a store's objects describe.
+
+    ``services`` has only the addresses whose claim names the service.
+    ``wanted`` maps each address to all services configured for it.
+    ``pools`` and ``pool_domains`` map pool keys to targets and to the
+    targets' failure domains.  ``locations`` maps each team to the addresses
+    of its targets by name.  ``evacuated`` names failure domains whose
+    targets get no new work.
     """
 
     services: dict[Endpoint, Service] = Factory(dict)
@@ -178,7 +185,7 @@
     problems: dict[str, list[Problem]] = Factory(dict)
 
     def target_infos(self, pool_key: str) -> list[TargetInfo]:
-        """Return the targets of a pool as placement takes them."""
+        """Return the targets of a pool in the form that placement uses."""
         team = pool_key.partition('/')[0]
         infos = []
         for target in self.pools.get(pool_key, ()):
@@ -190,12 +197,12 @@
         return infos
 
     def location(self, name: str) -> Endpoint | None:
-        """Return the address of a target by its unique name."""
+        """Return the address of a target by its unique name, or None."""
         team, _separator, target = name.partition('/')
         return self.locations.get(team, {}).get(target)
 
     def is_leaving(self, name: str) -> bool:
-        """Tell whether an operator or the instance list says so."""
+        """Return whether a target is drained or its instance is leaving."""
         if name in self.drained:
             return True
         entry = self.instances.get(name)
@@ -204,7 +211,10 @@
 
 @define
 class _ResolvedTeam:
-    """What follows from one team and its template alone."""
+    """The services and pools of one team, before claims are applied.
+
+    ``granted_services`` caches (claim, service) by service name.
+    """
 
     team: Team
     template: object
@@ -218,12 +228,12 @@
 
 @define
 class ViewBuilder:
-    """Builds the view; teams that did not change are not read again."""
+    """Builds the view, with a cache for teams that did not change."""
 
     _cache: dict = Factory(dict)
 
     def build(self, store: ObjectStore) -> ConfigurationView:
-        """Return the view of what the store holds."""
+        """Return the view of the store's valid objects."""
         templates = store.of_kind(ObjectKind.TEMPLATE)
         teams = store.of_kind(ObjectKind.TEAM)
         claims = store.of_kind(ObjectKind.CLAIM)
@@ -255,7 +265,7 @@
         try:
             services = _resolve_team_services(team, template, f'team/{name}')
         except ConfigurationError as error:
-            # The team as it last fitted its template stays in force.
+            # The last valid combination of team and template stays in force.
             last = cached or _ResolvedTeam(team, None)
             return evolve(last, problems=error.problems)
         resolved = _ResolvedTeam(team, template, services)
@@ -278,7 +288,7 @@
         resolved.pools.setdefault(key, []).append(target)
         resolved.locations[target.name] = target.address
     for key, targets in resolved.pools.items():
-        domains = frozenset(one.failure_domain for one in targets)
+        domains = frozenset(item.failure_domain for item in targets)
         resolved.pool_domains[key] = domains
 
 
--- a/src/liftmount/_internal/decisions/routing.py
+++ b/src/liftmount/_internal/decisions/routing.py
@@ -1,9 +1,10 @@
 """Routing: what a balancer does with a caller's packet.
 
-This holds no state for any flow.  A packet with a token goes to the
-flow's home; one that opens a flow goes to the owner of the pool; one
-without a token is looked for along the owners of the pool.  What does not
-fit the address it was sent to is refused, never guessed.
+Routing holds no state per flow.  A packet with a token goes to the flow's
+home, and a packet that opens a flow to the owner of the pool.  Any other
+packet is looked up by its caller and flow id, at the likely owners of the
+pool one after another.  A token that does not match the service at the
+packet's address is refused.
 """
 
 from functools import lru_cache
@@ -40,7 +41,7 @@
 
 @frozen
 class PeerView:
-    """What routing needs to know of another balancer."""
+    """What routing needs to know about another balancer."""
 
     incarnation: int
     reachable: bool
@@ -48,10 +49,11 @@
 
 @define
 class RoutingState:
-    """What one balancer knows when it routes.
+    """The routing state of one balancer.
 
-    ``services`` maps each address in force to its service,
-    ``pool_domains`` each pool to the failure domains of its targets.
+    ``services`` maps each address in force to its service, and
+    ``pool_domains`` maps each pool to the failure domains of its targets.
+    ``leaving`` is set while this balancer shuts down.
     """
 
     name: str
@@ -71,7 +73,7 @@
 
 @frozen
 class PacketArrived:
-    """A caller's packet, straight from the fabric or passed on."""
+    """A caller's packet, received directly or forwarded by a peer."""
 
     caller: Endpoint
     address: Endpoint
@@ -80,7 +82,7 @@
 
 
 def decide(state: RoutingState, event: PacketArrived):
-    """Return the one action for a packet."""
+    """Return the action for a packet."""
     service = state.services.get(event.address)
     if service is None:
         return RefusePacket(Reason.UNKNOWN_ADDRESS)
@@ -123,7 +125,7 @@
 
 
 def _find_mismatch(token, service):
-    """Return why a token does not fit the address it came to."""
+    """Return why a token does not match a service, or None."""
     if (token.team, token.service) != (service.team, service.name):
         return Reason.TOKEN_OTHER_SERVICE
     if token.generation != service.generation:
@@ -156,16 +158,15 @@
 
 
 def _route_without_home(state, event, service, token):
-    """Handle a packet whose home is dead, cut off or started anew.
+    """Route a packet whose home is dead, unreachable or restarted.
 
-    A stream needs no sequencer, so the pool's owner takes it over from
-    its last sequence number.  A request may have reached the old home,
-    so nothing is said of whether it ran.
+    A stream needs no sequencer, so the owner of the pool continues it from
+    the caller's sequence number.  A request may have reached the old home,
+    so the answer makes no statement on whether it ran.
     """
     packet = event.packet
     if isinstance(packet, Close | Cancel):
-        # Nothing is left to close; an answer would be taken for news of
-        # the flow that came in its place.
+        # The caller would apply an answer to the flow that replaced it.
         return RefusePacket(Reason.HOME_GONE)
     if not isinstance(packet, Keepalive) or service.mode != 'stream':
         return RefusePacket(Reason.HOME_GONE, answer=True)
@@ -178,25 +179,25 @@
 
 
 def _route_by_key(state, event, service):
-    """Look for the flow of a packet without a token.
+    """Route a packet without a token by its caller and flow id.
 
-    Its home is the owner of the pool at the time it was opened: now the
-    owner, or one of those who owned the pool before.
+    The flow's home owned the pool when the flow was opened, so it is the
+    present owner or a member that ranks just below it.
     """
     if not event.packet.flow_id:
         return RefusePacket(Reason.TOKEN_FORGED, answer=True)
     eligible = set(state.ownership.domains)
-    order = [state.owner(service)]
-    order += [
-        one
-        for one in rank(service.pool_key, eligible | {state.name})
-        if one not in order
+    owners = [state.owner(service)]
+    owners += [
+        member
+        for member in rank(service.pool_key, eligible | {state.name})
+        if member not in owners
     ]
-    order = order[:MAX_OWNERS_TRIED]
-    if event.hops == 0 and order[0] != state.name:
-        return PassToPeer(order[0])
-    if event.hops >= MAX_HOPS_BY_KEY or state.name not in order:
+    owners = owners[:MAX_OWNERS_TRIED]
+    if event.hops == 0 and owners[0] != state.name:
+        return PassToPeer(owners[0])
+    if event.hops >= MAX_HOPS_BY_KEY or state.name not in owners:
         return HandleByKey(service, None)
-    position = order.index(state.name) + 1
-    next_peer = order[position] if position < len(order) else None
+    position = owners.index(state.name) + 1
+    next_peer = owners[position] if position < len(owners) else None
     return HandleByKey(service, next_peer)
--- a/src/liftmount/_internal/decisions/streams.py
+++ b/src/liftmount/_internal/decisions/streams.py
@@ -1,8 +1,9 @@
-"""Streams at their home: placement, pushes, repair and moves.
+"""Stream flows at their home: placement, pushes, resends and moves.
 
-A stream belongs to its service, not to a target: any target can go on
-from a sequence number.  So a stream survives its home and its target, and
-a planned change moves it before anything is cut.
+Any target of the service can continue a stream from a sequence number, so
+a stream survives the loss of its home and of its target.  Before a planned
+change its caller is asked to open the flow again, and the old flow serves
+until then.
 """
 
 from liftmount._internal.decisions.home import grant_flow
@@ -24,8 +25,8 @@
 from liftmount._internal.models.events import StreamLost
 from liftmount._internal.models.reasons import Reason
 
-# A caller that still lacks a push this long after it was handed out has
-# lost it; a keepalive just under way says nothing yet.
+# A push not acknowledged by a keepalive this long after it was sent counts
+# as lost; earlier keepalives may have crossed it on the way.
 RESEND_AFTER_MS = 60
 
 
@@ -46,9 +47,9 @@
 
 
 def _handle_open(state, event):
-    again = regrant_flow(state, event)
-    if again is not None:
-        return [again]
+    existing = regrant_flow(state, event)
+    if existing is not None:
+        return [existing]
     if state.flows.is_full():
         return refuse_flow(event, Reason.FLOW_LIMIT)
     pool = state.pool_state(event.service.pool_key).pool
@@ -64,7 +65,7 @@
 
 
 def _find_kept_target(pool, event):
-    """Return the target that the stream had, while it may stay there."""
+    """Return the stream's previous target, or None if it is unusable."""
     target = pool.targets.get(event.target)
     if target is None or target not in pool.usable(event.now_ms):
         return None
@@ -127,7 +128,7 @@
     if target is None:
         return Reason.TARGET_LOST
     if not flow.target_incarnation:
-        # The flow was opened before the target was met.
+        # The flow was opened before the first contact with the target.
         flow.target_incarnation = target.incarnation
     if target.incarnation != flow.target_incarnation:
         return Reason.TARGET_REPLACED
@@ -146,7 +147,7 @@
 
 
 def moves(state: HomeState) -> list:
-    """Return the requests to rebind for all flows that have to move."""
+    """Return the requests to rebind for all flows that must move."""
     actions = []
     for flow in state.flows.flows.values():
         if flow.service.mode == 'stream':
@@ -159,7 +160,7 @@
 
 
 def _handle_connection_loss(state, event):
-    """Go on at another target, from what the caller has."""
+    """Continue at another target, from what the caller acknowledged."""
     flow = state.flows.get(event.nonce)
     if flow is None or flow.target != event.target:
         return []
@@ -199,7 +200,7 @@
 
 
 def expire(state: HomeState, now_ms: int) -> list:
-    """Forget idle flows of both modes."""
+    """Remove idle flows of both modes; return the resulting actions."""
     actions = []
     for flow in state.flows.find_idle(now_ms):
         if flow.service.mode == 'stream':
--- a/src/liftmount/_internal/decisions/token.py
+++ b/src/liftmount/_internal/decisions/token.py
@@ -1,8 +1,8 @@
-"""Flow tokens: what any balancer needs to know of a flow, under a MAC.
+"""Flow tokens: what any balancer needs to route a flow, under a MAC.
 
 Every packet of an open flow carries its token, as QUIC packets carry
-connection IDs that route them (draft-ietf-quic-load-balancers).  So any
-balancer can handle any packet without state of its own for the flow.
+connection IDs that route them (draft-ietf-quic-load-balancers), so a
+balancer needs no state of its own to route it.
 """
 
 from hashlib import blake2s
@@ -26,9 +26,9 @@
 class FlowToken:
     """The content of a flow token.
 
-    ``home`` with ``home_incarnation`` names the one balancer process that
-    sequences the flow's requests.  ``target`` is empty unless the flow
-    stays with one target.  ``nonce`` is unique within the home.
+    ``home`` and ``home_incarnation`` identify the balancer process that
+    opened the flow and sequences its requests.  ``target`` is empty unless
+    the flow stays with one target.  ``nonce`` is unique within the home.
     """
 
     team: str
@@ -57,7 +57,7 @@
 
 
 def seal_token(ring: KeyRing, token: FlowToken) -> bytes:
-    """Return the bytes of a token under the current key.
+    """Return the bytes of a token, authenticated with the current key.
 
     Raises TokenError when the ring has no current key.
     """
@@ -69,9 +69,10 @@
 
 
 def open_token(ring: KeyRing, data: bytes) -> FlowToken:
-    """Return the content of a token whose MAC is right.
+    """Return the content of a token after a check of its MAC.
 
-    Raises TokenError on any other bytes.
+    Raises TokenError if the bytes are no token, the key is unknown or the
+    MAC is wrong.
     """
     try:
         outer = cbor2.loads(data)
@@ -89,7 +90,7 @@
         raise TokenError(Reason.TOKEN_KEY_UNKNOWN)
     if not compare_digest(_mac(secret, inner), mac):
         raise TokenError(Reason.TOKEN_FORGED)
-    # Only key holders produce this, so later fields may safely be ignored.
+    # The MAC is right, so unknown fields come from a newer balancer.
     return FlowToken(*cbor2.loads(inner)[: len(_FIELD_NAMES)])
 
 
--- a/src/liftmount/_internal/decisions/window.py
+++ b/src/liftmount/_internal/decisions/window.py
@@ -1,7 +1,7 @@
-"""Anti-replay window: each request number of a token is used once.
+"""Anti-replay window: each request number of a flow is used only once.
 
 The scheme is that of IPsec (RFC 4303, section 3.4.3): the highest number
-seen and a bitmap of those just below it.
+seen, and a bitmap of the numbers just below it.
 """
 
 from enum import Enum
@@ -13,7 +13,7 @@
 
 
 class Claim(Enum):
-    """The answer to an attempt to use a number."""
+    """The result of claiming a number."""
 
     NEW = 'new'
     SEEN = 'seen'
@@ -22,17 +22,16 @@
 
 @define
 class Window:
-    """The numbers of one token that were used.
+    """The used numbers of one flow, in constant memory.
 
-    Takes constant memory.  A number below the window counts as used,
-    since it can no longer be told apart from one that was.
+    Numbers below the window are no longer recorded and count as used.
     """
 
     highest: int = 0
     bitmap: int = 0
 
     def claim(self, number: int) -> Claim:
-        """Use ``number`` (1 or more) unless it may have been used."""
+        """Mark ``number`` (1 or more) as used, unless it may be already."""
         if number > self.highest:
             shift = number - self.highest
             if shift >= WINDOW_WIDTH:
@@ -51,7 +50,7 @@
         return Claim.NEW
 
     def peek(self, number: int) -> Claim:
-        """Tell what ``claim`` would answer, without using the number."""
+        """Return what ``claim`` would, without marking the number."""
         if number > self.highest:
             return Claim.NEW
         offset = self.highest - number
--- a/src/liftmount/_internal/models/__init__.py
+++ b/src/liftmount/_internal/models/__init__.py
@@ -1,4 +1,4 @@
 """Types that decisions and services share: messages, settings, objects.
 
-Fields carry their unit as a suffix; wire forms stand beside their types.
+Field names end in their unit.  The wire format of a type is in its module.
 """
--- a/src/liftmount/_internal/models/actions.py
+++ b/src/liftmount/_internal/models/actions.py
@@ -1,4 +1,4 @@
-"""Actions that decisions ask of the services around them."""
+"""Actions that decisions return and services carry out."""
 
 from attrs import frozen
 
@@ -10,7 +10,7 @@
 
 @frozen
 class SendRequest:
-    """Write a request to a target, once."""
+    """Write a request to a target."""
 
     target: str
     request_id: int
@@ -21,7 +21,7 @@
 
 @frozen
 class SendCancel:
-    """Tell a target that nobody waits for a request."""
+    """Tell a target that a request was cancelled."""
 
     target: str
     request_id: int
@@ -29,7 +29,7 @@
 
 @frozen
 class Reply:
-    """Give a caller the final answer to one request."""
+    """Send a caller the final answer to one request."""
 
     caller: Endpoint
     address: Endpoint
@@ -40,21 +40,21 @@
 
 @frozen
 class CountRefusal:
-    """Count a refusal."""
+    """Increment the counter of refusals for a reason."""
 
     reason: Reason
 
 
 @frozen
 class CountRetry:
-    """Count a retry, or one that was not allowed."""
+    """Increment the counter of retries, made or denied, for a reason."""
 
     reason: Reason
 
 
 @frozen
 class AttachStream:
-    """Ask a target to push a stream, starting after ``sequence``."""
+    """Ask a target to push a stream's events after ``sequence``."""
 
     target: str
     nonce: int
@@ -73,7 +73,7 @@
 
 @frozen
 class GrantFlow:
-    """Answer a caller with the token of its flow."""
+    """Send a caller the token of its flow."""
 
     caller: Endpoint
     service: Service
@@ -85,7 +85,7 @@
 
 @frozen
 class RefuseFlow:
-    """Tell a caller that it gets no flow, and when to come back."""
+    """Refuse to open a flow, with the delay before the next attempt."""
 
     caller: Endpoint
     address: Endpoint
@@ -96,7 +96,7 @@
 
 @frozen
 class SendPush:
-    """Hand an event of a stream to its caller."""
+    """Send an event of a stream to its caller."""
 
     caller: Endpoint
     address: Endpoint
@@ -107,7 +107,7 @@
 
 @frozen
 class AskToRebind:
-    """Tell a caller to open another flow in place of this one."""
+    """Ask a caller to replace its flow by a new one."""
 
     caller: Endpoint
     address: Endpoint
@@ -117,14 +117,14 @@
 
 @frozen
 class PassToPeer:
-    """Hand a caller's packet to another balancer."""
+    """Forward a caller's packet to another balancer."""
 
     peer: str
 
 
 @frozen
 class HandleAsHome:
-    """This balancer is the home of the packet's flow."""
+    """Handle the packet here, at the home of its flow."""
 
     service: Service
     nonce: int
@@ -132,7 +132,11 @@
 
 @frozen
 class HandleOpen:
-    """This balancer opens the flow; ``token`` is of the one replaced."""
+    """Open a flow here.
+
+    ``target`` and ``target_incarnation`` are those of the flow that the
+    new one replaces.
+    """
 
     service: Service
     target: str = ''
@@ -141,9 +145,9 @@
 
 @frozen
 class HandleByKey:
-    """Look for a flow of the packet's caller without a token.
+    """Look up a flow by the packet's caller and flow id.
 
-    ``next_peer`` may know the flow if this balancer does not.
+    If it is unknown here, the packet is forwarded to ``next_peer``.
     """
 
     service: Service
@@ -152,7 +156,7 @@
 
 @frozen
 class RefusePacket:
-    """Refuse a packet; ``answer`` says whether the caller is told."""
+    """Refuse a packet; ``answer`` is whether to notify the caller."""
 
     reason: Reason
     answer: bool = False
--- a/src/liftmount/_internal/models/configuration.py
+++ b/src/liftmount/_internal/models/configuration.py
@@ -1,4 +1,4 @@
-"""Templates, teams and what follows from them."""
+"""Templates, teams, and the services that result from them."""
 
 from ipaddress import ip_network
 
@@ -27,7 +27,7 @@
 
 @frozen
 class ServiceTemplate:
-    """A service that each team of a template has."""
+    """A service that every team of a template has."""
 
     name: str = checked(checks.name, help_text='Name of the service.')
     mode: str = checked(check_mode, help_text='stream or request.')
@@ -48,7 +48,7 @@
 
 @frozen
 class Template:
-    """What the teams of one kind have in common."""
+    """The services that a set of teams have in common."""
 
     name: str = checked(checks.name, help_text='Name of the template.')
     services: list[ServiceTemplate] = checked(
@@ -59,7 +59,7 @@
 
 @frozen
 class ServiceParameters:
-    """Values by which a team departs from its template."""
+    """A team's overrides of its template for one service."""
 
     priority: str | None = checked(None, None, 'See the template.')
     repeatable: bool | None = checked(None, None, 'See the template.')
@@ -71,27 +71,29 @@
 class Target:
     """One endpoint of a team's pool."""
 
-    name: str = checked(checks.name, help_text='Unique name.')
+    name: str = checked(checks.name, help_text='Name, unique in the team.')
     pool: str = checked(checks.name, help_text='Pool it belongs to.')
     address: Endpoint = checked(None, help_text='IP:PORT of the target.')
-    failure_domain: str = checked(checks.name, help_text='Where it is.')
+    failure_domain: str = checked(checks.name, help_text='Failure domain.')
 
 
 @frozen
 class Team:
-    """A team's own configuration."""
+    """The configuration of one team."""
 
     name: str = checked(checks.name, help_text='Name of the team.')
-    template: str = checked(checks.name, help_text='Its template.')
+    template: str = checked(checks.name, help_text='Name of its template.')
     addresses: dict[str, Endpoint] = checked(
         None, help_text='Address of each service.'
     )
     caller_prefixes: list[str] = checked(
         checks.prefixes, help_text='Callers that may use the services.'
     )
-    targets: list[Target] = checked(None, Factory(list), 'Its targets.')
+    targets: list[Target] = checked(
+        None, Factory(list), 'Targets of the team.'
+    )
     services: dict[str, ServiceParameters] = checked(
-        None, Factory(dict), 'Departures from the template.'
+        None, Factory(dict), 'Overrides of the template, by service.'
     )
 
 
@@ -99,8 +101,8 @@
 class Service:
     """A team's service as the balancers serve it.
 
-    ``generation`` counts how often its address changed hands, and
-    ``pool_key`` names its pool uniquely among all teams.
+    ``generation`` is that of its address's claim, and ``pool_key`` names
+    its pool uniquely across teams.
     """
 
     team: str
@@ -114,7 +116,7 @@
     max_queue: int
     networks: tuple
     generation: int = 0
-    # Worked out once, since every packet needs them.
+    # Computed once, because they are used for every packet.
     pool_key: str = field(init=False, eq=False)
     address_text: str = field(init=False, eq=False)
 
@@ -128,7 +130,10 @@
 
 
 def parse_template(document: dict, source: str) -> Template:
-    """Read and check a template; raises ConfigurationError."""
+    """Return the template of a document.
+
+    Raises ConfigurationError if the document is invalid.
+    """
     template = structure(document, Template, source)
     problems = check_fields(template, source)
     seen = set()
@@ -146,7 +151,10 @@
 
 
 def parse_team(document: dict, source: str) -> Team:
-    """Read and check a team on its own; raises ConfigurationError."""
+    """Return the team of a document, checked without its template.
+
+    Raises ConfigurationError if the document is invalid.
+    """
     team = structure(document, Team, source)
     problems = check_fields(team, source)
     problems += _check_targets(team, source)
@@ -208,9 +216,10 @@
 
 
 def resolve_services(team: Team, template: Template, source: str) -> list:
-    """Return the services of a team made from its template.
+    """Return the services of a team according to its template.
 
-    Raises ConfigurationError when the two do not fit together.
+    Raises ConfigurationError if the team names services or pools that the
+    template does not have.
     """
     known = {service.name for service in template.services}
     pools = {service.pool for service in template.services}
@@ -228,7 +237,7 @@
             problems.append(Problem(source, key, repr(target.pool), text))
     if problems:
         raise ConfigurationError(problems)
-    networks = tuple(ip_network(one) for one in team.caller_prefixes)
+    networks = tuple(ip_network(prefix) for prefix in team.caller_prefixes)
     return [
         _resolve_service(team, service, networks)
         for service in template.services
@@ -237,10 +246,10 @@
 
 
 def _resolve_service(team, service, networks):
-    own = team.services.get(service.name, ServiceParameters())
+    overrides = team.services.get(service.name, ServiceParameters())
 
     def choose(name):
-        value = getattr(own, name)
+        value = getattr(overrides, name)
         return getattr(service, name) if value is None else value
 
     return Service(
--- a/src/liftmount/_internal/models/events.py
+++ b/src/liftmount/_internal/models/events.py
@@ -1,4 +1,4 @@
-"""Events that the decisions of a flow's home take."""
+"""Events for the decisions of a flow's home."""
 
 from attrs import frozen
 
@@ -8,7 +8,7 @@
 
 @frozen
 class RequestArrived:
-    """A whole request reached its home."""
+    """A complete request arrived at its home."""
 
     nonce: int
     caller: Endpoint
@@ -29,7 +29,7 @@
 
 @frozen
 class TargetAnswered:
-    """A target finished a request: its whole answer."""
+    """A target sent the complete answer to a request."""
 
     request_id: int
     body: bytes
@@ -38,7 +38,10 @@
 
 @frozen
 class TargetRefused:
-    """A target says that it did not run a request and never will."""
+    """A target reported that it did not and will not run a request.
+
+    ``cancelled`` is set if the caller had cancelled the request.
+    """
 
     request_id: int
     retry_after_ms: int
@@ -48,7 +51,10 @@
 
 @frozen
 class RequestLost:
-    """The connection failed; ``written`` unless it failed beforehand."""
+    """The connection to a target failed before the answer to a request.
+
+    ``written`` is whether any of the request may have been written.
+    """
 
     request_id: int
     written: bool
@@ -57,9 +63,9 @@
 
 @frozen
 class FlowAsked:
-    """A caller asks for a flow, or for another in place of one it has.
+    """A caller asked to open a flow, or to replace one that it has.
 
-    ``target`` with ``target_incarnation`` is the one to keep if possible.
+    ``target`` and ``target_incarnation`` are to be kept if possible.
     """
 
     service: Service
@@ -75,7 +81,7 @@
 
 @frozen
 class KeepaliveArrived:
-    """A keepalive reached its home; pushes up to ``sequence`` arrived."""
+    """A keepalive arrived that acknowledges pushes up to ``sequence``."""
 
     nonce: int
     caller: Endpoint
@@ -85,7 +91,7 @@
 
 @frozen
 class CloseArrived:
-    """A caller gave up a flow."""
+    """A caller closed a flow."""
 
     nonce: int
     now_ms: int
--- a/src/liftmount/_internal/models/identity.py
+++ b/src/liftmount/_internal/models/identity.py
@@ -1,4 +1,4 @@
-"""Who a running daemon is."""
+"""The identity of a running daemon."""
 
 from attrs import frozen
 
@@ -7,7 +7,7 @@
 
 @frozen
 class Identity:
-    """Name and incarnation of a process, and where it runs."""
+    """Name, failure domain and incarnation of a process."""
 
     name: str
     failure_domain: str
@@ -15,10 +15,10 @@
 
 
 def make_incarnation(wall_ms: int, random_bits: int) -> int:
-    """Return a number that no earlier process of this name had.
+    """Return an incarnation that no earlier process of this name had.
 
-    Later processes get higher numbers as long as clocks do not step back;
-    the random bits keep two apart that start in one millisecond.
+    Later processes get higher numbers unless the clock steps back.  The
+    random bits distinguish processes that start in the same millisecond.
     """
     mask = (1 << RANDOM_BITS) - 1
     return (wall_ms << RANDOM_BITS) | (random_bits & mask)
--- a/src/liftmount/_internal/models/objects.py
+++ b/src/liftmount/_internal/models/objects.py
@@ -1,4 +1,4 @@
-"""Objects of the platform's store as the system uses them."""
+"""Objects that liftmount keeps in the platform's store."""
 
 from enum import Enum
 
@@ -21,7 +21,7 @@
     HISTORY = 'history'
 
 
-# Kinds that every balancer holds, in the order of the wire.
+# Kinds that every balancer holds, in the order of messages between them.
 DISSEMINATED_KINDS = (
     ObjectKind.TEMPLATE,
     ObjectKind.TEAM,
@@ -30,7 +30,7 @@
     ObjectKind.DRAIN,
     ObjectKind.EVACUATION,
 )
-# Words of the platform's instance list.
+# Role and state in the platform's instance list.
 BALANCER_ROLE = 'balancer'
 LIVE_STATE = 'live'
 FLOW_KEY_OBJECT = 'flow-key/current'
@@ -38,9 +38,9 @@
 
 @frozen
 class Written:
-    """A template or team as it is stored, with who wrote it.
+    """A template or team in the store, with its writer.
 
-    ``nonce`` tells a writer whose answer was lost that it is its own.
+    By ``nonce``, a writer that got no answer recognizes its own write.
     """
 
     document: dict
@@ -50,7 +50,7 @@
 
 
 class ClaimState(Enum):
-    """Whether an address is served, or is on its way to a new owner."""
+    """Whether an address is assigned, or being released for another."""
 
     HELD = 'held'
     RELEASING = 'releasing'
@@ -58,9 +58,9 @@
 
 @frozen
 class Claim:
-    """Which service an address belongs to.
+    """The service that an address is assigned to.
 
-    ``generation`` grows whenever the address changes hands.
+    ``generation`` increases each time the address is reassigned.
     """
 
     team: str
@@ -71,7 +71,7 @@
 
 @frozen
 class FlowKey:
-    """One key that seals flow tokens."""
+    """A key that seals and opens flow tokens."""
 
     id: int
     secret_hex: str
@@ -80,7 +80,7 @@
 
 @frozen
 class FlowKeys:
-    """All keys that open tokens; ``current`` is the id that seals."""
+    """All keys that open tokens; ``current`` is the id of the sealing key."""
 
     current: int
     keys: list[FlowKey] = Factory(list)
@@ -88,7 +88,7 @@
 
 @frozen
 class Drain:
-    """An operator's word that a target gets no new work."""
+    """An operator's request that a target gets no new work."""
 
     target: str
     asked_wall_ms: int = 0
@@ -96,9 +96,9 @@
 
 @frozen
 class Evacuation:
-    """An operator's word that a failure domain's targets get nothing new.
+    """An operator's request that a domain's targets get no new work.
 
-    The name of the object is that of the domain.
+    The name of the object is that of the failure domain.
     """
 
     writer: str = ''
@@ -107,7 +107,7 @@
 
 @frozen
 class InstanceEntry:
-    """One line of the platform's instance list."""
+    """One entry of the platform's instance list."""
 
     name: str
     failure_domain: str
@@ -117,11 +117,12 @@
 
 @frozen
 class DomainStatus:
-    """What the lease holder of a failure domain reports.
+    """The status that the lease holder of a failure domain reports.
 
     ``revision`` is the highest version of configuration that the holder
-    has read; ``missing`` names the live balancers that do not hold it.
-    ``problems`` maps keys of invalid objects to what is wrong with them.
+    has read.  ``applied`` names the live balancers that have applied it,
+    and ``missing`` the others.  ``problems`` maps the keys of invalid
+    objects to error messages.
     """
 
     failure_domain: str
--- a/src/liftmount/_internal/models/problems.py
+++ b/src/liftmount/_internal/models/problems.py
@@ -1,11 +1,11 @@
-"""Problems found in documents that operators write."""
+"""Errors in documents that operators write."""
 
 from attrs import frozen
 
 
 @frozen
 class Problem:
-    """One error in a document: where it is, which key, which value."""
+    """An error in a document, with its source, key and value."""
 
     source: str
     key: str
--- a/src/liftmount/_internal/models/reasons.py
+++ b/src/liftmount/_internal/models/reasons.py
@@ -1,10 +1,10 @@
-"""Every reason for a refusal or a retry; each one is a statsd counter."""
+"""The reasons for refusals and retries; each is a statsd counter."""
 
 from enum import Enum
 
 
 class Reason(Enum):
-    """Why a packet, flow or request was refused, or tried again.
+    """Why a packet, flow or request was refused or retried.
 
     The value is the name of the counter below ``liftmount.refused`` or
     ``liftmount.retried``; docs/operators/counters.md explains each.
--- a/src/liftmount/_internal/models/verdict.py
+++ b/src/liftmount/_internal/models/verdict.py
@@ -1,4 +1,4 @@
-"""The verdict on a request: whether it may have run."""
+"""The verdict on a request, which states whether it may have run."""
 
 from enum import Enum
 
@@ -8,11 +8,12 @@
 
 
 class Verdict(Enum):
-    """What is known about one request.
+    """Whether a request ran.
 
-    ``RAN``: it ran, and its whole answer is at hand.  ``NOT_RUN``: it did
-    not run and never will; only the home of its flow may say so, after
-    closing its number.  ``MAY_HAVE_RUN``: nobody can tell.
+    ``RAN``: it ran, and its complete answer is available.  ``NOT_RUN``: it
+    did not run and never will; only the home of its flow gives this
+    verdict, after it has claimed the request's number.  ``MAY_HAVE_RUN``:
+    it is unknown whether it ran.
     """
 
     RAN = 'ran'
@@ -24,8 +25,8 @@
 class Outcome:
     """The final answer to one request.
 
-    ``body`` is whole when ``verdict`` is ``RAN`` and empty otherwise.
-    ``retry_after_ms`` tells when to come back; 0 means at once.
+    ``body`` is complete if ``verdict`` is ``RAN`` and empty otherwise.
+    ``retry_after_ms`` is the delay before a retry; 0 means at once.
     """
 
     verdict: Verdict
