--- a/benches/ablation.py
+++ b/benches/ablation.py
@@ -63,8 +63,8 @@
     Mechanism(
         'probes',
         'services/packet_path.py',
-        '        self.execute(actions)\n\n    def _assess',
-        '\n    def _assess',
+        '        self.execute(actions)\n\n    def _update_health',
+        '\n    def _update_health',
     ),
     Mechanism(
         'data sent again as evidence',
--- a/benches/domain_start.py
+++ b/benches/domain_start.py
@@ -23,8 +23,8 @@
 from liftmount._internal.models.feeds import TargetUnknown
 from liftmount._internal.models.records import Tick
 from liftmount._internal.network.http import STALL_MS
-from liftmount._internal.services.entry import SERVE_ALONE_MS
-from liftmount._internal.services.entry import SERVE_FIRST_MS
+from liftmount._internal.services.entry import GROUP_DELAY_MS
+from liftmount._internal.services.entry import STORE_WAIT_MS
 
 STEP_MS = 10
 TICK_MS = 50
@@ -201,9 +201,9 @@
         waited_ms = self.now_ms - member.started_ms
         if member.is_complete:
             known_ms = max(member.known_ms.values())
-            if self.now_ms - known_ms < SERVE_ALONE_MS + IMPORTS_MS:
+            if self.now_ms - known_ms < GROUP_DELAY_MS + IMPORTS_MS:
                 return
-        elif waited_ms < SERVE_FIRST_MS + IMPORTS_MS:
+        elif waited_ms < STORE_WAIT_MS + IMPORTS_MS:
             return
         member.group_ms = self.now_ms
         share = int(member.name[1:]) / len(self.members)
--- a/benches/entry.py
+++ b/benches/entry.py
@@ -25,7 +25,7 @@
 from liftmount._internal.models.segments import Segment
 from liftmount._internal.models.segments import ServiceShare
 from liftmount._internal.models.segments import TargetEntry
-from liftmount._internal.services.packet_path import OVERFLOW_MS
+from liftmount._internal.services.packet_path import OVERFLOW_CHECK_MS
 from liftmount._internal.services.packet_path import TICK_MS
 
 TARGETS = (100, 1_000, 3_000, 27_000)
@@ -95,7 +95,7 @@
             directory.decide(self.directory, tick)
             forwarding.decide(self.state, tick)
             target_health.decide(self.state.health, tick)
-            if self.now_ms % OVERFLOW_MS == 0:
+            if self.now_ms % OVERFLOW_CHECK_MS == 0:
                 domain_loads(self.state, 1, self.now_ms)
 
     def give_evidence(self):
--- a/src/liftmount/_internal/services/entry.py
+++ b/src/liftmount/_internal/services/entry.py
@@ -16,21 +16,21 @@
 from liftmount._internal.decisions.list_watch import recheck_ms
 from liftmount._internal.exceptions import ConfigurationError
 from liftmount._internal.kernel import Kernel
-from liftmount._internal.services.early import EarlyBalancer
 from liftmount._internal.services.feeds import FeedService
 from liftmount._internal.services.packets import PacketService
 from liftmount._internal.services.readiness import ReadinessService
+from liftmount._internal.services.startup import StartupContext
 from liftmount._internal.utils.import_turns import ImportTurns
 
-FLUSH_MS = 200
-CHECK_MS = 50
+LOG_FLUSH_MS = 200
+POLL_MS = 50
 # How often a settings file that changed without a signal is looked for.
 SETTINGS_CHECK_MS = 2_000
 # How long a start waits for the store before it looks for peers.
-SERVE_FIRST_MS = 400
+STORE_WAIT_MS = 400
 # How long a balancer that found the store serves before it looks for peers;
 # the imports take a tenth of a second on a small instance.
-SERVE_ALONE_MS = 1_000
+GROUP_DELAY_MS = 1_000
 # What must be left of the time for a planned stop when the process ends.
 STOP_MARGIN_MS = 800
 
@@ -55,28 +55,28 @@
 class EntryBalancer:
     """One balancer: its services, and the order in which they start.
 
-    ``early`` is what serves already.
+    ``startup`` is what serves already.
     """
 
-    def __init__(self, adapter: Adapter, early: EarlyBalancer):
+    def __init__(self, adapter: Adapter, startup: StartupContext):
         self.adapter = adapter
-        self.early = early
-        self.settings = early.settings
-        self.path = early.path
-        self.log = early.log
-        self.metrics = early.metrics
-        self.kernel = Kernel(early.clock)
+        self.startup = startup
+        self.settings = startup.settings
+        self.path = startup.path
+        self.log = startup.log
+        self.metrics = startup.metrics
+        self.kernel = Kernel(startup.clock)
         self.group = None
 
     async def run(self) -> None:
         """Serve until a planned stop is complete."""
-        self._build()
+        self._register_services()
         self.log.write('process', 'event_loop')
         stopping = asyncio.Event()
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, stopping.set)
-        if self.early.stops:
+        if self.startup.stop_signals:
             stopping.set()
         loop.add_signal_handler(signal.SIGHUP, self._reload, 'signal')
         running = asyncio.create_task(self.kernel.run())
@@ -89,7 +89,7 @@
         ]
         await asyncio.wait(tasks[:2], return_when=asyncio.FIRST_COMPLETED)
         if not running.done():
-            await self._leave()
+            await self._shut_down()
         for task in tasks:
             task.cancel()
         (result,) = await asyncio.gather(running, return_exceptions=True)
@@ -98,7 +98,7 @@
         if isinstance(result, Exception):
             raise result
 
-    def _build(self):
+    def _register_services(self):
         """Register the services that packets need."""
         settings = self.settings
         self.kernel.register(PacketService(self.kernel, self.path))
@@ -106,14 +106,14 @@
             ReadinessService(
                 self.kernel,
                 settings.readiness,
-                self.early.readiness,
+                self.startup.readiness,
                 self.adapter.ready_path,
-                self.path.why_not_ready,
+                self.path.get_unready_reason,
                 self.log,
             )
         )
         feeds = self.adapter.make_feeds(
-            settings, self.early.note_problems, self.metrics
+            settings, self.startup.record_problems, self.metrics
         )
         age_ms = self.kernel.clock.now_ms() - self.path.started_ms
         for name, feed in feeds.items():
@@ -123,27 +123,27 @@
                 feed,
                 [PacketService.name],
                 self.log,
-                _spread(settings.name),
+                _compute_jitter(settings.name),
                 freshness_times(settings.change_bound_ms),
-                self.early.known.get(name),
-                self.early.begun.pop(name, None),
+                self.startup.listings.get(name),
+                self.startup.pending_lists.pop(name, None),
                 recheck_ms(age_ms),
             )
             self.kernel.register(service)
 
     async def _join_group(self):
         """Meet the other balancers, once this one serves or can't."""
-        until_ms = self.kernel.clock.now_ms() + SERVE_FIRST_MS
+        until_ms = self.kernel.clock.now_ms() + STORE_WAIT_MS
         while not self.path.state.is_complete:
             if self.kernel.clock.now_ms() >= until_ms:
                 break
-            await asyncio.sleep(seconds(CHECK_MS))
+            await asyncio.sleep(seconds(POLL_MS))
         else:
             # What waited is served before anything else is imported.
-            await asyncio.sleep(seconds(SERVE_ALONE_MS))
-        await self._add_late()
+            await asyncio.sleep(seconds(GROUP_DELAY_MS))
+        await self._add_group_services()
 
-    async def _add_late(self):
+    async def _add_group_services(self):
         with ImportTurns(self.path.read):
             from liftmount._internal.services.group import GroupOptions
             from liftmount._internal.services.group import GroupService
@@ -155,9 +155,9 @@
             failure_domain=settings.failure_domain,
             peer=settings.peer,
             seeds=settings.seeds,
-            spread=_spread(settings.name),
+            jitter=_compute_jitter(settings.name),
             times=freshness_times(settings.change_bound_ms),
-            domains=max(1, len(settings.regions)),
+            domain_count=max(1, len(settings.regions)),
         )
         feeds = [
             one
@@ -175,22 +175,24 @@
                 self.metrics,
                 self.path,
                 self.group,
-                lambda: self.early.left_out,
+                lambda: self.startup.rejected_objects,
                 self.log,
             )
         )
         await self.kernel.add(self.group)
 
-    async def _leave(self):
+    async def _shut_down(self):
         """Forward until the fabric has moved on."""
         self.log.write('process', 'stopping')
         clock = self.kernel.clock
         started_ms = clock.now_ms()
         if self.group is not None and self.group.members is not None:
-            self.group.leave()
-        self.path.leave(started_ms + self.settings.stop_ms - STOP_MARGIN_MS)
-        while not self.path.leaving.may_end(clock.now_ms()):
-            await asyncio.sleep(seconds(CHECK_MS))
+            self.group.announce_leaving()
+        self.path.begin_shutdown(
+            started_ms + self.settings.stop_ms - STOP_MARGIN_MS
+        )
+        while not self.path.shutdown.may_end(clock.now_ms()):
+            await asyncio.sleep(seconds(POLL_MS))
         if self.group is not None and self.group.members is not None:
             self.group.say_farewell()
         forwarded_ms = clock.now_ms() - started_ms
@@ -233,9 +235,9 @@
     async def _flush_forever(self):
         while True:
             self.log.flush()
-            await asyncio.sleep(seconds(FLUSH_MS))
+            await asyncio.sleep(seconds(LOG_FLUSH_MS))
 
 
-def _spread(name):
+def _compute_jitter(name):
     """Return a share from 0 to 1 that differs by balancer."""
     return crc32(name.encode()) / 2**32
--- a/src/liftmount/_internal/services/feeds.py
+++ b/src/liftmount/_internal/services/feeds.py
@@ -17,8 +17,8 @@
     """Owns one feed and posts FeedUpdate and FeedFailed to its listeners.
 
     ``feed`` has ``fetch(may_lag, timeout_ms)`` and ``watch(revision,
-    wait_ms, timeout_ms)``, which raise PlatformError.  ``known`` is the
-    Listing that the listeners know already, if any, ``begun`` a list that is
+    wait_ms, timeout_ms)``, which raise PlatformError.  ``listing`` is the
+    Listing that the listeners know already, if any, ``pending_list`` a list that is
     under way with ``socket``, ``is_request_sent``, ``advance()``.  ``times``
     are FreshnessTimes, ``recheck_ms`` is how long after a first list it is
     proven.
@@ -33,8 +33,8 @@
         log,
         jitter,
         times,
-        known=None,
-        begun=None,
+        listing=None,
+        pending_list=None,
         recheck_ms=list_watch.RECHECK_MS,
     ):
         super().__init__(kernel)
@@ -48,19 +48,19 @@
             recheck_ms=recheck_ms,
             is_one_object=name == ROUTES,
         )
-        self._first = list_watch.Started()
-        if known is not None:
-            self._first = list_watch.ListKnown(
-                known.revision, known.size_bytes
+        self._first_event = list_watch.Started()
+        if listing is not None:
+            self._first_event = list_watch.ListKnown(
+                listing.revision, listing.size_bytes
             )
-        elif begun is not None:
-            self._first = list_watch.ListInProgress()
-        self._begun = begun
+        elif pending_list is not None:
+            self._first_event = list_watch.ListInProgress()
+        self._pending_list = pending_list
         self._call_task = None
 
     async def run(self):
         """Make one call after the other, until told to pause."""
-        self._next(self._first)
+        self._handle_event(self._first_event)
         await super().run()
 
     def handle(self, posted):
@@ -73,7 +73,7 @@
                 | list_watch.Confirmed()
                 | list_watch.ListKnown()
             ):
-                self._next(posted)
+                self._handle_event(posted)
             case _:
                 super().handle(posted)
 
@@ -82,7 +82,7 @@
             self._call_task.cancel()
         self._call_task = None
 
-    def _next(self, event):
+    def _handle_event(self, event):
         for action in list_watch.decide(self.state, event):
             match action:
                 case list_watch.Cancel():
@@ -95,9 +95,9 @@
                     task = asyncio.create_task(self._call(action))
                     self._call_task = task
                 case _:
-                    self._report(action)
+                    self._log_availability(action)
 
-    def _report(self, action):
+    def _log_availability(self, action):
         match action:
             case list_watch.DependencyLost(cause):
                 self.log.write(self.name, 'store_lost', cause=cause)
@@ -113,7 +113,7 @@
                     await asyncio.sleep(seconds(after_ms))
         event = await self._make_call(action)
         self._log_call(action, event)
-        self._next(event)
+        self._handle_event(event)
 
     def _log_call(self, action, event):
         """Say what a call was for, and how it ended; each has a price."""
@@ -131,7 +131,7 @@
         try:
             match action:
                 case list_watch.Finish():
-                    return await self._finish()
+                    return await self._finish_list()
                 case list_watch.List():
                     return await self._list(action)
             return await self._watch(action)
@@ -141,30 +141,30 @@
             )
             return list_watch.HistoryGone()
         except PlatformError as error:
-            return self._failed(str(error))
+            return self._report_failure(str(error))
         except TimeoutError:
-            return self._failed('the list under way makes no progress')
+            return self._report_failure('the list under way makes no progress')
         except Exception as error:
             # Whatever the store sent must not end the feed for good.
             self.log.write(self.name, 'call_broke', cause=repr(error))
-            return self._failed(repr(error))
+            return self._report_failure(repr(error))
 
-    def _failed(self, cause):
+    def _report_failure(self, cause):
         self._post(FeedFailed(self.name, cause))
         return list_watch.CallFailed(cause)
 
-    async def _finish(self):
+    async def _finish_list(self):
         """Receive the rest of a list that was asked for before."""
-        begun, self._begun = self._begun, None
+        pending_list, self._pending_list = self._pending_list, None
         try:
-            while (listing := begun.advance()) is None:
+            while (listing := pending_list.advance()) is None:
                 await wait_for_socket(
-                    begun.socket,
-                    not begun.is_request_sent,
+                    pending_list.socket,
+                    not pending_list.is_request_sent,
                     list_watch.LIST_TIMEOUT_MS,
                 )
         finally:
-            begun.socket.close()
+            pending_list.socket.close()
         self._post(FeedUpdate(self.name, listing))
         return list_watch.Finished(listing.revision, listing.size_bytes)
 
@@ -192,6 +192,6 @@
     async def stop(self):
         """Close the connection."""
         self._cancel()
-        if self._begun is not None:
-            self._begun.socket.close()
+        if self._pending_list is not None:
+            self._pending_list.socket.close()
         self.feed.close()
--- a/src/liftmount/_internal/services/group.py
+++ b/src/liftmount/_internal/services/group.py
@@ -49,19 +49,19 @@
 from liftmount._internal.network.http_messages import HTTP_OK
 from liftmount._internal.network.http_messages import HttpAnswer
 from liftmount._internal.network.udp import UdpSocket
-from liftmount._internal.services.doubts import DoubtTeller
-from liftmount._internal.services.knowledge import KNOWLEDGE_PATH
-from liftmount._internal.services.knowledge import KnowledgeTeller
 from liftmount._internal.services.pulls import get_from_peer
-from liftmount._internal.services.pulls import KnowledgePuller
+from liftmount._internal.services.pulls import SnapshotPuller
+from liftmount._internal.services.snapshots import SNAPSHOT_PATH
+from liftmount._internal.services.snapshots import SnapshotServer
+from liftmount._internal.services.stall_reporter import StallReporter
 
 TICK_MS = 50
 MEMBERS_PATH = '/members/'
 # Failed calls in a row before another member shall read the store.
-FAILURES_TO_YIELD = 2
+MAX_FAILED_CALLS = 2
 # Snapshot this old is also taken from other domains.
-CUT_OFF_MS = 5_000
-FAREWELLS = 3
+REMOTE_PULL_AGE_MS = 5_000
+MAX_FAREWELLS = 3
 VERSION_BYTES = 8
 
 
@@ -69,16 +69,16 @@
 class GroupOptions:
     """Who this balancer is, and where it meets the others.
 
-    ``domains`` counts the failure domains of the deployment.
+    ``domain_count`` counts the failure domains of the deployment.
     """
 
     name: str
     failure_domain: str
     peer: Endpoint
     seeds: tuple[Endpoint, ...]
-    spread: float
+    jitter: float
     times: FreshnessTimes
-    domains: int = 1
+    domain_count: int = 1
 
 
 class GroupService(TickingService):
@@ -94,28 +94,30 @@
         super().__init__(kernel)
         self.options = options
         self.packets = packets
-        self.beliefs = packets.path.beliefs
+        self.store_cache = packets.path.store_cache
         self.feeds = feeds
         self.log = log
         self.counters = counters
         self.socket = None
         self.members = None
-        self.spread = dissemination.DisseminationState(
+        self.dissemination = dissemination.DisseminationState(
             options.name,
             self.clock.now_ms(),
-            options.spread,
+            options.jitter,
             options.times,
             process_ms=packets.path.started_ms,
         )
-        self.confirming = freshness.FreshnessState()
-        self._teller = KnowledgeTeller(self.beliefs, self.clock, counters)
+        self.freshness = freshness.FreshnessState()
+        self._snapshot_server = SnapshotServer(
+            self.store_cache, self.clock, counters
+        )
         self._server = HttpServer(self._answer)
-        self._failures = 0
-        self._doubts = DoubtTeller(
-            options.name, self._send_to, self._hold_out, log, counters
+        self._failed_calls = 0
+        self._stall_reporter = StallReporter(
+            options.name, self._send_to, self._eject, log, counters
         )
-        self._puller = KnowledgePuller(
-            self.name, packets.path, counters, log, self._pull_ended
+        self._puller = SnapshotPuller(
+            self.name, packets.path, counters, log, self._on_pull_ended
         )
         self._started_ms = self.clock.now_ms()
 
@@ -138,7 +140,7 @@
         self.members = membership.make_membership(
             own, membership.MembershipTimes(), options.seeds, now_ms
         )
-        self._note_knowledge()
+        self._update_revisions()
         await self._server.start(options.peer)
         self.socket = await UdpSocket.bind(options.peer, self._on_datagram)
         for feed in self.feeds:
@@ -152,9 +154,9 @@
 
     def tasks(self):
         """Learn of the others besides."""
-        return [*super().tasks(), self._join()]
+        return [*super().tasks(), self._bootstrap()]
 
-    async def _join(self):
+    async def _bootstrap(self):
         """Learn of the others in a few turns."""
         waited_ms = 0
         for turn, at_ms in enumerate(bootstrap.ATTEMPT_TIMES_MS):
@@ -170,13 +172,13 @@
             for peer in bootstrap.peers_to_ask(
                 own, turn, self.members.seeds, near
             ):
-                wanted -= await self._ask_members(peer)
+                wanted -= await self._request_members(peer)
                 if not wanted:
                     break
         await asyncio.sleep(seconds(bootstrap.JOIN_COMPLETE_MS - waited_ms))
-        self._reorder()
+        self._update_relay_order()
 
-    async def _ask_members(self, peer):
+    async def _request_members(self, peer):
         """Ask a peer for members; return whether it answered."""
         path = MEMBERS_PATH + encode_member(self.members.own).hex()
         try:
@@ -187,11 +189,11 @@
                 self.name, 'join_failed', peer=str(peer), cause=str(error)
             )
             return False
-        self._learn_all(members, peer)
-        self._ask_whoever_answered(peer)
+        self._add_members(members, peer)
+        self._pull_from_responder(peer)
         return True
 
-    def _learn_all(self, members, peer):
+    def _add_members(self, members, peer):
         """Take over a list of members; one line of the log tells of all."""
         now_ms = self.clock.now_ms()
         learned = membership.learn_all(self.members, members, now_ms)
@@ -200,30 +202,30 @@
         self.log.write(
             self.name, 'members_learned', peer=str(peer), count=len(learned)
         )
-        self._reorder()
+        self._update_relay_order()
 
-    def _ask_whoever_answered(self, peer):
+    def _pull_from_responder(self, peer):
         """Get what is not known yet from a member that is in reach.
 
         The store may turn this balancer away, or take seconds over a list
         that a member tells compressed.
         """
-        if self.beliefs.state.is_complete:
+        if self.store_cache.state.is_complete:
             return
         for member in self.members.reachable():
             if member.peer == peer:
                 event = dissemination.PeerDiffers(
                     member.name, self.clock.now_ms()
                 )
-                self._execute(dissemination.decide(self.spread, event))
+                self._execute(dissemination.decide(self.dissemination, event))
 
     def tick(self):
         """Let time pass."""
         tick = Tick(self.clock.now_ms())
         self._execute(membership.decide(self.members, tick))
-        self._execute(dissemination.decide(self.spread, tick))
-        self._execute(freshness.decide(self.confirming, tick))
-        self._doubts.decide(tick)
+        self._execute(dissemination.decide(self.dissemination, tick))
+        self._execute(freshness.decide(self.freshness, tick))
+        self._stall_reporter.decide(tick)
 
     def _on_datagram(self, data, source):
         if self.socket is None:
@@ -236,16 +238,16 @@
                 event = dissemination.HeartbeatReceived(
                     decode_heartbeat(data), now_ms
                 )
-                self._execute(dissemination.decide(self.spread, event))
+                self._execute(dissemination.decide(self.dissemination, event))
                 return
             if is_stall_report(data):
-                self._doubts.hear(data, now_ms)
+                self._stall_reporter.receive(data, now_ms)
                 return
             if is_heartbeat_request(data):
                 event = dissemination.HeartbeatRequested(
                     decode_heartbeat_request(data), now_ms
                 )
-                self._execute(dissemination.decide(self.spread, event))
+                self._execute(dissemination.decide(self.dissemination, event))
                 return
             event = membership.MessageArrived(
                 decode_peer(data), Endpoint(*source[:2]), now_ms
@@ -257,9 +259,11 @@
     def _answer(self, path):
         if path.startswith(MEMBERS_PATH):
             return self._answer_members(path.removeprefix(MEMBERS_PATH))
-        if path.startswith(KNOWLEDGE_PATH):
-            answer = self._teller.answer(path.removeprefix(KNOWLEDGE_PATH))
-            self.packets.path.note_transfer(len(answer.body))
+        if path.startswith(SNAPSHOT_PATH):
+            answer = self._snapshot_server.answer(
+                path.removeprefix(SNAPSHOT_PATH)
+            )
+            self.packets.path.record_transfer(len(answer.body))
             return answer
         return HttpAnswer(HTTP_NOT_FOUND, b'', {})
 
@@ -271,7 +275,7 @@
             self.counters.count('refused.malformed_peer_message')
             return HttpAnswer(HTTP_NOT_FOUND, b'', {})
         self.counters.count('members_given')
-        self._learn_all([asker], asker.peer)
+        self._add_members([asker], asker.peer)
         known = [self.members.own, *self.members.reachable()]
         told = bootstrap.members_to_send(known, asker)
         return HttpAnswer(HTTP_OK, encode_members(told), {})
@@ -282,48 +286,50 @@
         """Take note of what our own feeds read."""
         match message:
             case FeedUpdate(feed, news):
-                self._failures = 0
+                self._failed_calls = 0
                 self._announce(has_platform=True)
-                self._note_answer(feed, news)
+                self._record_store_answer(feed, news)
                 event = freshness.Answered(feed, news, self.clock.now_ms())
-                self._execute(freshness.decide(self.confirming, event))
+                self._execute(freshness.decide(self.freshness, event))
             case TargetUnknown():
-                self._execute(dissemination.decide(self.spread, message))
+                self._execute(
+                    dissemination.decide(self.dissemination, message)
+                )
             case Stalled():
                 event = StallSeen(
                     message.target, message.waited_ms, message.now_ms
                 )
-                self._doubts.decide(event)
+                self._stall_reporter.decide(event)
             case FeedFailed(feed):
-                self._failures += freshness.count_affected_feeds(
-                    self.confirming, feed
+                self._failed_calls += freshness.count_affected_feeds(
+                    self.freshness, feed
                 )
-                if self._failures >= FAILURES_TO_YIELD:
+                if self._failed_calls >= MAX_FAILED_CALLS:
                     self._announce(has_platform=False)
             case _:
                 super().handle(message)
 
-    def _hold_out(self, action):
-        self.packets.path.hold_out(action.target, action.until_ms)
+    def _eject(self, action):
+        self.packets.path.eject(action.target, action.until_ms)
 
-    def _note_answer(self, feed, news):
+    def _record_store_answer(self, feed, news):
         event = dissemination.StoreAnswered(feed, news, self.clock.now_ms())
-        self._execute(dissemination.decide(self.spread, event))
-        self._note_version()
+        self._execute(dissemination.decide(self.dissemination, event))
+        self._update_digest()
 
     def set_seeds(self, seeds):
         """Take over new seeds; they are probed when no member is known."""
         own = self.members.own.peer
         self.members.seeds = tuple(one for one in seeds if one != own)
 
-    def leave(self):
+    def announce_leaving(self):
         """Tell the others that a planned stop has begun."""
         self._announce(leaving=True)
 
     def say_farewell(self):
         """Tell a few members at once that this one has left."""
         self._announce(status=MemberStatus.LEFT)
-        for member in self.members.reachable()[:FAREWELLS]:
+        for member in self.members.reachable()[:MAX_FAREWELLS]:
             self._execute(membership.farewell(self.members, member))
 
     def _announce(self, **changes):
@@ -331,9 +337,9 @@
         if all(getattr(own, key) == value for key, value in changes.items()):
             return
         membership.announce(self.members, **changes)
-        self._reorder()
+        self._update_relay_order()
 
-    def _reorder(self):
+    def _update_relay_order(self):
         domain = self.options.failure_domain
         others = self.members.members.values()
         near = [one for one in others if one.failure_domain == domain]
@@ -344,22 +350,22 @@
                 local=1 + sum(one.eligible for one in near),
                 is_isolated=bool(far)
                 and not any(one.reachable for one in far),
-                fleet=self._fleet_size(near),
+                fleet=self._estimate_fleet_size(near),
             )
         )
-        is_reordered = order != self.spread.order
+        is_reordered = order != self.dissemination.order
         names = tuple(one.name for one in far if one.eligible)
         dissemination.decide(
-            self.spread, dissemination.RelayOrderChanged(order, names)
+            self.dissemination, dissemination.RelayOrderChanged(order, names)
         )
         live = [one.name for one in self.members.reachable()]
-        self._doubts.set_peers(tuple(live))
+        self._stall_reporter.set_peers(tuple(live))
         if is_reordered:
             # The last member of a domain leaves nobody behind.
             root = order[0] if order else ''
             self.log.write(self.name, 'order', members=len(order), root=root)
 
-    def _fleet_size(self, near):
+    def _estimate_fleet_size(self, near):
         """Return about how many balancers there are, 0 if that is not known.
 
         All of the own domain are known, of others only some.
@@ -372,21 +378,21 @@
         if not is_joined or is_alone:
             return 0
         present = [one for one in near if one.status is not MemberStatus.LEFT]
-        return self.options.domains * (1 + len(present))
+        return self.options.domain_count * (1 + len(present))
 
-    def _note_knowledge(self):
-        table = self.beliefs.state.table
+    def _update_revisions(self):
+        table = self.store_cache.state.table
         event = dissemination.RevisionsChanged(
-            self.beliefs.directory.revision,
-            self.beliefs.routes_revision,
+            self.store_cache.directory.revision,
+            self.store_cache.routes_revision,
             table.version if table else 0,
-            self.beliefs.evacuations.known,
+            self.store_cache.evacuations.known,
         )
-        dissemination.decide(self.spread, event)
-        self._note_version()
+        dissemination.decide(self.dissemination, event)
+        self._update_digest()
 
-    def _note_version(self):
-        version = self.spread.routes_version
+    def _update_digest(self):
+        version = self.dissemination.routes_version
         self.members.digest = version.to_bytes(VERSION_BYTES, 'big')
 
     # Actions.
@@ -401,15 +407,15 @@
                     self._log_member(member)
                     is_reordered = True
                 case membership.DigestDiffers(member):
-                    self._ask_other_domain(member)
+                    self._pull_from_other_domain(member)
                 case membership.BudgetSpent():
                     self.counters.count('refused.control_budget_spent')
                 case _:
-                    self._spread(action)
+                    self._execute_dissemination(action)
         if is_reordered:
-            self._reorder()
+            self._update_relay_order()
 
-    def _spread(self, action):
+    def _execute_dissemination(self, action):
         """Do what was decided on the spreading of news."""
         match action:
             case dissemination.SendHeartbeat(beat, children):
@@ -428,11 +434,11 @@
             case dissemination.PollStore():
                 self.kernel.post(TARGETS, list_watch.RefreshRequested())
             case dissemination.SetStoreReader():
-                self._set_reading(action)
+                self._set_store_reader(action)
             case freshness.Confirm(feed, delta):
                 # As if the store had answered that nothing has changed.
                 self.packets.post(FeedUpdate(feed, delta))
-                self._note_answer(feed, delta)
+                self._record_store_answer(feed, delta)
                 self.kernel.post(feed, list_watch.Confirmed(delta.revision))
             case freshness.Ask(feed):
                 self.counters.count('retried.not_confirmed')
@@ -458,22 +464,25 @@
             if member is not None:
                 self._send(datagram, member.peer)
 
-    def _set_reading(self, action):
+    def _set_store_reader(self, action):
         self.log.write(
             self.name,
             'reading' if action.is_reader else 'not_reading',
             reason=action.reason,
-            root=self.spread.order[0] if self.spread.order else '',
-            known_ms=self.clock.now_ms() - self.spread.last_confirmed_ms(),
+            root=self.dissemination.order[0]
+            if self.dissemination.order
+            else '',
+            known_ms=self.clock.now_ms()
+            - self.dissemination.last_confirmed_ms(),
         )
         # What the packet path holds, not what is on its way there: a watch
         # from too late a revision would never tell what lies between.
         revisions = {
-            TARGETS: self.beliefs.directory.revision,
-            ROUTES: self.beliefs.routes_revision,
-            EVACUATIONS: self.beliefs.evacuations.revision,
+            TARGETS: self.store_cache.directory.revision,
+            ROUTES: self.store_cache.routes_revision,
+            EVACUATIONS: self.store_cache.evacuations.revision,
         }
-        freshness.decide(self.confirming, freshness.ReadingStarted())
+        freshness.decide(self.freshness, freshness.ReadingStarted())
         for feed in self.feeds:
             if action.is_reader:
                 revision = revisions[feed.name] or None
@@ -486,53 +495,55 @@
             else:
                 self.kernel.post(feed.name, list_watch.Paused())
 
-    def _ask_other_domain(self, member):
+    def _pull_from_other_domain(self, member):
         now_ms = self.clock.now_ms()
-        age_ms = now_ms - self.spread.last_confirmed_ms()
-        is_young = not self.beliefs.state.is_complete
-        if is_young or age_ms > CUT_OFF_MS:
+        age_ms = now_ms - self.dissemination.last_confirmed_ms()
+        is_young = not self.store_cache.state.is_complete
+        if is_young or age_ms > REMOTE_PULL_AGE_MS:
             event = dissemination.PeerDiffers(member.name, now_ms)
-            self._execute(dissemination.decide(self.spread, event))
+            self._execute(dissemination.decide(self.dissemination, event))
 
     def _pull(self, action):
         member = self.members.members.get(action.peer)
         if member is None:
             event = dissemination.PullEnded(action.peer)
-            self._execute(dissemination.decide(self.spread, event))
+            self._execute(dissemination.decide(self.dissemination, event))
             return
         self._puller.start(member, action.scope)
 
-    def _pull_ended(self, member, knowledge):
+    def _on_pull_ended(self, member, snapshot):
         event = dissemination.PullEnded(member.name)
-        self._execute(dissemination.decide(self.spread, event))
-        if knowledge is not None:
-            self._take(member, knowledge)
+        self._execute(dissemination.decide(self.dissemination, event))
+        if snapshot is not None:
+            self._apply_snapshot(member, snapshot)
 
-    def _take(self, member, knowledge):
+    def _apply_snapshot(self, member, snapshot):
         self.log.write(
             self.name,
             'pulled',
             peer=member.name,
-            targets_revision=knowledge.targets_revision,
-            version=knowledge.table.version if knowledge.table else None,
+            targets_revision=snapshot.targets_revision,
+            version=snapshot.table.version if snapshot.table else None,
         )
-        self.packets.post(knowledge)
-        if knowledge.targets or knowledge.missing:
-            known = list_watch.ListKnown(knowledge.targets_revision)
+        self.packets.post(snapshot)
+        if snapshot.targets or snapshot.missing:
+            known = list_watch.ListKnown(snapshot.targets_revision)
             self.kernel.post(TARGETS, known)
-        if knowledge.table is not None:
-            known = list_watch.ListKnown(knowledge.routes_revision)
+        if snapshot.table is not None:
+            known = list_watch.ListKnown(snapshot.routes_revision)
             self.kernel.post(ROUTES, known)
-        if knowledge.evacuated is not None:
-            known = list_watch.ListKnown(knowledge.evacuated.revision)
+        if snapshot.evacuated is not None:
+            known = list_watch.ListKnown(snapshot.evacuated.revision)
             self.kernel.post(EVACUATIONS, known)
         event = dissemination.RevisionsChanged(
-            max(self.spread.targets_revision, knowledge.targets_revision),
-            max(self.spread.routes_revision, knowledge.routes_revision),
             max(
-                self.spread.routes_version,
-                knowledge.table.version if knowledge.table else 0,
+                self.dissemination.targets_revision, snapshot.targets_revision
+            ),
+            max(self.dissemination.routes_revision, snapshot.routes_revision),
+            max(
+                self.dissemination.routes_version,
+                snapshot.table.version if snapshot.table else 0,
             ),
-            knowledge.evacuated,
+            snapshot.evacuated,
         )
-        dissemination.decide(self.spread, event)
+        dissemination.decide(self.dissemination, event)
--- a/src/liftmount/_internal/services/metrics_page.py
+++ b/src/liftmount/_internal/services/metrics_page.py
@@ -13,7 +13,7 @@
 class MetricsPage(Service):
     """Owns the server of the metrics address.
 
-    ``find_left_out()`` returns the LeftOut, None while there is none.
+    ``find_rejected_objects()`` returns the RejectedObjects, None while there is none.
     """
 
     name = 'metrics'
@@ -25,7 +25,7 @@
         metrics,
         path,
         group,
-        find_left_out,
+        find_rejected_objects,
         log,
     ):
         super().__init__(kernel)
@@ -33,7 +33,7 @@
         self._metrics = metrics
         self._path = path
         self._group = group
-        self._find_left_out = find_left_out
+        self._find_rejected_objects = find_rejected_objects
         self._log = log
         self._server = HttpServer(self._answer)
 
@@ -47,34 +47,34 @@
     def _answer(self, path):
         if path != METRICS_PATH:
             return HttpAnswer(HTTP_NOT_FOUND, b'', {})
-        self._measure()
-        left_out = self._find_left_out()
-        text = self._metrics.text() + (left_out.text() if left_out else '')
+        self._update_gauges()
+        rejected = self._find_rejected_objects()
+        text = self._metrics.text() + (rejected.text() if rejected else '')
         return HttpAnswer(HTTP_OK, text.encode(), {})
 
-    def _measure(self):
+    def _update_gauges(self):
         """Set the gauges, which are read off the state when asked for."""
-        beliefs = self._path.beliefs
-        state = beliefs.state
-        spread = self._group.spread
+        store_cache = self._path.store_cache
+        state = store_cache.state
+        dissemination = self._group.dissemination
         now_ms = self.clock.now_ms()
         gauges = self._metrics.gauges
         gauges['flows'] = len(state.flows)
-        gauges['targets'] = len(beliefs.directory.entries)
+        gauges['targets'] = len(store_cache.directory.entries)
         gauges['targets_dead'] = len(state.health.dead)
         gauges['targets_suspected'] = len(state.health.suspected)
         gauges['link_busy'] = int(state.health.is_link_busy)
         gauges['link_times_busy'] = self._path.link.times_busy
-        gauges['targets_doubted'] = len(beliefs.directory.missing)
+        gauges['targets_doubted'] = len(store_cache.directory.missing)
         gauges['configuration_version'] = (
             state.table.version if state.table else 0
         )
-        gauges['targets_revision'] = beliefs.directory.revision
+        gauges['targets_revision'] = store_cache.directory.revision
         gauges['domains_evacuated'] = len(state.evacuated or ())
-        gauges['knowledge_age_ms'] = now_ms - spread.last_confirmed_ms()
-        gauges['reads_store'] = int(spread.is_reader)
-        left_out = self._find_left_out()
-        gauges['objects_left_out'] = len(left_out.objects) if left_out else 0
+        gauges['knowledge_age_ms'] = now_ms - dissemination.last_confirmed_ms()
+        gauges['reads_store'] = int(dissemination.is_reader)
+        rejected = self._find_rejected_objects()
+        gauges['objects_left_out'] = len(rejected.objects) if rejected else 0
         gauges['log_lines_lost'] = self._log.lost_in_all
 
     async def stop(self):
--- a/src/liftmount/_internal/services/packet_path.py
+++ b/src/liftmount/_internal/services/packet_path.py
@@ -2,7 +2,7 @@
 
 It needs no event loop, so that packets flow before one is imported.
 Whoever owns it calls ``read`` when the socket has something and ``tick``
-each TICK_MS, and starts the probes that are ``wanted``.
+each TICK_MS, and starts the probes that are ``pending_probes``.
 """
 
 from zlib import crc32
@@ -23,7 +23,7 @@
 from liftmount._internal.models.addresses import Endpoint
 from liftmount._internal.models.feeds import DomainMembers
 from liftmount._internal.models.records import Tick
-from liftmount._internal.services.beliefs import Beliefs
+from liftmount._internal.services.store_cache import StoreCache
 from liftmount._internal.utils.raw_sockets import make_socket
 from liftmount._internal.utils.raw_sockets import RawSocket
 from liftmount._internal.utils.raw_sockets import SO_RCVBUF
@@ -32,14 +32,14 @@
 from liftmount._internal.utils.raw_sockets import SOL_SOCKET
 
 TICK_MS = 20
-OVERFLOW_MS = 200
-RECEIVE_BYTES = 2_048
+OVERFLOW_CHECK_MS = 200
+MAX_DATAGRAM_BYTES = 2_048
 # Datagrams read at one wake-up before others get a turn.
-BATCH = 64
-BUFFER_BYTES = 4 * 1_048_576
+MAX_BATCH_DATAGRAMS = 64
+SOCKET_BUFFER_BYTES = 4 * 1_048_576
 
 
-def bind_packets(
+def bind_packet_socket(
     address: Endpoint, bound: RawSocket | None = None
 ) -> RawSocket:
     """Return the socket for packets, with room for those that wait.
@@ -55,7 +55,7 @@
         bound.bind(address.socket_address())
     bound.setblocking(False)
     for option in (SO_RCVBUF, SO_SNDBUF):
-        bound.setsockopt(SOL_SOCKET, option, BUFFER_BYTES)
+        bound.setsockopt(SOL_SOCKET, option, SOCKET_BUFFER_BYTES)
     return bound
 
 
@@ -63,8 +63,8 @@
     """Owns the socket for packets and what is decided on them.
 
     ``codec`` has ``read(datagram)``, ``encode_forward(action)`` and
-    ``encode_reset(action)``; ``options`` are EntrySettings.  ``wanted`` has a
-    SendProbe for each target to probe.  ``leaving`` is a ShutdownState
+    ``encode_reset(action)``; ``options`` are EntrySettings.  ``pending_probes`` has a
+    SendProbe for each target to probe.  ``shutdown`` is a ShutdownState
     once a planned stop has begun.
     """
 
@@ -72,8 +72,8 @@
         self.clock = clock
         self.started_ms = clock.now_ms()
         self.socket = bound
-        self.wanted = []
-        self.leaving = None
+        self.pending_probes = []
+        self.shutdown = None
         self.overflow = overflow.OverflowState()
         self.members = DomainMembers(1, False)
         self.link = OwnLink(options.link_megabits_per_s)
@@ -86,22 +86,22 @@
             fleet=Fleet(options.name),
             is_watching_stalls=options.shares_doubts,
         )
-        self.beliefs = Beliefs(self.state, log)
-        self.ask_for_target = None
-        self.tell_stall = None
+        self.store_cache = StoreCache(self.state, log)
+        self.on_unknown_target = None
+        self.on_stall = None
         self._codec = codec
         self._client_port = options.packets.port
         self._log = log
         self._counters = counters
-        self._next_overflow_ms = 0
+        self._next_overflow_check_ms = 0
         # When what is decided on now came, which saves a look at the clock
         # for each packet.
         self._now_ms = 0
 
-    def why_not_ready(self) -> str:
+    def get_unready_reason(self) -> str:
         """Return why no packets should come here; empty when they may."""
-        if self.leaving is not None:
-            self.leaving.record_refusal()
+        if self.shutdown is not None:
+            self.shutdown.record_refusal()
             return 'stopping'
         if self.overflow.is_out:
             return 'clients are handed to other domains'
@@ -118,19 +118,19 @@
         self.members = members
         self.state.fleet.balancers = members.fleet
 
-    def leave(self, until_ms: int) -> None:
+    def begin_shutdown(self, until_ms: int) -> None:
         """Begin a planned stop that ends at ``until_ms`` at the latest."""
         # A start does without.
         from liftmount._internal.decisions.shutdown import ShutdownState
 
-        self.leaving = ShutdownState(self.clock.now_ms(), until_ms)
+        self.shutdown = ShutdownState(self.clock.now_ms(), until_ms)
 
     def read(self) -> None:
         """Decide on the packets that wait, up to a batch of them."""
         now_ms = self._now_ms = self.clock.now_ms()
-        for _ in range(BATCH):
+        for _ in range(MAX_BATCH_DATAGRAMS):
             try:
-                datagram = self.socket.recv(RECEIVE_BYTES)
+                datagram = self.socket.recv(MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 return
             except OSError as error:
@@ -143,8 +143,8 @@
             except PacketError:
                 self._counters.count('refused.malformed_packet')
                 continue
-            if self.leaving is not None:
-                self.leaving.record_packet(now_ms)
+            if self.shutdown is not None:
+                self.shutdown.record_packet(now_ms)
             event = flows.SegmentArrived(segment, now_ms)
             self.execute(forwarding.decide(self.state, event))
 
@@ -152,17 +152,17 @@
         """Let time pass."""
         tick = Tick(self.clock.now_ms())
         self._now_ms = tick.now_ms
-        self._watch_link(tick.now_ms)
-        self.execute(self.beliefs.pass_time(tick))
+        self._check_link(tick.now_ms)
+        self.execute(self.store_cache.expire_entries(tick))
         self.execute(forwarding.decide(self.state, tick))
         self.execute(target_health.decide(self.state.health, tick))
         self._check_overflow(tick.now_ms)
 
-    def _watch_link(self, now_ms):
+    def _check_link(self, now_ms):
         """Tell whether the own link filled, or is free again."""
         is_busy = self.link.is_busy(now_ms)
         if is_busy != self.state.health.is_link_busy:
-            self._assess(target_health.LinkSeen(is_busy))
+            self._update_health(target_health.LinkSeen(is_busy))
             self._log.write(
                 'link',
                 'busy' if is_busy else 'free',
@@ -172,9 +172,9 @@
 
     def _check_overflow(self, now_ms):
         """See whether the domain can carry its clients."""
-        if now_ms < self._next_overflow_ms:
+        if now_ms < self._next_overflow_check_ms:
             return
-        self._next_overflow_ms = now_ms + OVERFLOW_MS
+        self._next_overflow_check_ms = now_ms + OVERFLOW_CHECK_MS
         event = overflow.DomainSeen(
             domain_loads(self.state, self.members.local, now_ms),
             self.members.is_isolated,
@@ -186,14 +186,16 @@
             self._log.write('domain', name, reason=action.reason)
             self._counters.count(f'domain.{name}')
 
-    def note_transfer(self, size_bytes: int = 0, lasted_ms: int = 0) -> None:
+    def record_transfer(self, size_bytes: int = 0, lasted_ms: int = 0) -> None:
         """Note what the own link has carried beside packets."""
         self.link.transferred(size_bytes, lasted_ms, self.clock.now_ms())
 
-    def end_probe(self, sent: target_health.SendProbe, result) -> None:
+    def handle_probe_result(
+        self, sent: target_health.SendProbe, result
+    ) -> None:
         """Judge a target by how a probe of it ended."""
         now_ms = self.clock.now_ms()
-        if not self._is_proof(sent, result, now_ms):
+        if not self._is_conclusive(sent, result, now_ms):
             result = target_health.ProbeResult.UNPROVEN
         self._log.write(
             'probes',
@@ -205,9 +207,9 @@
         event = target_health.ProbeEnded(
             sent.target, result, sent.sent_ms, now_ms
         )
-        self._assess(event)
+        self._update_health(event)
 
-    def _is_proof(self, sent, result, now_ms):
+    def _is_conclusive(self, sent, result, now_ms):
         """Tell whether the end of a probe may speak against a target."""
         match result:
             case target_health.ProbeResult.SILENT:
@@ -232,19 +234,19 @@
                 case flows.Drop():
                     self._drop(action)
                 case flows.TargetsNeeded():
-                    self._ask_for_target()
+                    self._report_unknown_target()
                 case target_health.SendProbe():
-                    self._want_probe(action)
+                    self._queue_probe(action)
                 case target_health.TargetJudged():
-                    self._judge(action)
+                    self._apply_condition(action)
                 case target_health.TargetSilent():
-                    self._doubt(action)
+                    self._handle_unresponsive(action)
                 case target_health.TargetSeen():
-                    self._assess(action)
+                    self._update_health(action)
                 case _:
-                    self._note(action)
+                    self._record_action(action)
 
-    def _note(self, action):
+    def _record_action(self, action):
         """Count and log what asks for nothing else."""
         match action:
             case flows.Placed():
@@ -256,9 +258,9 @@
             case flows.TargetRestarted():
                 self._log_restarted(action)
             case stalls.Stalled():
-                self._note_stall(action)
+                self._report_stall(action)
 
-    def _note_stall(self, action):
+    def _report_stall(self, action):
         self._counters.count('stalls')
         self._log.write(
             'targets',
@@ -267,10 +269,10 @@
             flow=action.flow.hex(),
             waited_ms=action.waited_ms,
         )
-        if self.tell_stall is not None:
-            self.tell_stall(action)
+        if self.on_stall is not None:
+            self.on_stall(action)
 
-    def hold_out(self, name: str, until_ms: int) -> None:
+    def eject(self, name: str, until_ms: int) -> None:
         """Give a target no new flows until then."""
         event = flows.TargetHeldOut(name, until_ms, self.clock.now_ms())
         self.execute(forwarding.decide(self.state, event))
@@ -286,10 +288,10 @@
             requests=action.requests,
         )
 
-    def _want_probe(self, action):
+    def _queue_probe(self, action):
         if is_probe_wanted(self.state, action.target):
             self._counters.count('probes')
-            self.wanted.append(action)
+            self.pending_probes.append(action)
             return
         self._counters.count('probes_spared')
         self.state.health.forget(action.target)
@@ -297,13 +299,13 @@
         alive = flows.TargetDied(action.target, False, now_ms)
         self.execute(forwarding.decide(self.state, alive))
 
-    def _ask_for_target(self):
+    def _report_unknown_target(self):
         """Have somebody look for a target that a segment waits for."""
         self._counters.count('retried.unknown_tag')
-        if self.ask_for_target is not None:
-            self.ask_for_target()
+        if self.on_unknown_target is not None:
+            self.on_unknown_target()
 
-    def _doubt(self, silent):
+    def _handle_unresponsive(self, silent):
         """Probe a target if a flow gives reason to."""
         self._counters.count(f'silence.{silent.sign.value}')
         actions = target_health.decide(self.state.health, silent)
@@ -318,10 +320,10 @@
             )
         self.execute(actions)
 
-    def _assess(self, event):
+    def _update_health(self, event):
         self.execute(target_health.decide(self.state.health, event))
 
-    def _judge(self, action):
+    def _apply_condition(self, action):
         event = 'suspected' if action.is_suspected else 'alive'
         if action.is_dead:
             event = 'dead'
@@ -382,5 +384,5 @@
             tries=action.tries,
             load=round(action.load, 2),
             version=self.state.table.version,
-            revision=self.beliefs.directory.revision,
+            revision=self.store_cache.directory.revision,
         )
--- a/src/liftmount/_internal/services/packets.py
+++ b/src/liftmount/_internal/services/packets.py
@@ -24,8 +24,8 @@
         super().__init__(kernel)
         self.path = path
         self._probes = set()
-        path.ask_for_target = self._ask_group
-        path.tell_stall = self._tell_group
+        path.on_unknown_target = self._post_unknown_target
+        path.on_stall = self._post_stall
 
     async def start(self):
         """Read packets whenever there are some."""
@@ -50,33 +50,37 @@
     def handle(self, posted):
         """Take over what a feed or the group tells."""
         now_ms = self.clock.now_ms()
-        beliefs = self.path.beliefs
+        store_cache = self.path.store_cache
         match posted:
             case FeedUpdate():
-                self.path.note_transfer(lasted_ms=posted.update.age_ms)
-                self.path.execute(beliefs.take_news(posted, now_ms))
+                self.path.record_transfer(lasted_ms=posted.update.age_ms)
+                self.path.execute(
+                    store_cache.apply_feed_update(posted, now_ms)
+                )
             case Snapshot():
-                self.path.execute(beliefs.take_knowledge(posted, now_ms))
+                self.path.execute(store_cache.apply_snapshot(posted, now_ms))
             case DomainMembers():
                 self.path.set_members(posted)
             case Evacuated():
-                self.path.execute(beliefs.take_evacuated(posted, now_ms))
+                self.path.execute(
+                    store_cache.apply_evacuations(posted, now_ms)
+                )
             case FeedFailed():
-                beliefs.lose_store(now_ms)
+                store_cache.record_store_lost(now_ms)
             case _:
                 super().handle(posted)
 
-    def _ask_group(self):
+    def _post_unknown_target(self):
         if 'group' in self.kernel.services:
             event = TargetUnknown(self.clock.now_ms())
             self.kernel.post('group', event)
 
-    def _tell_group(self, stalled):
+    def _post_stall(self, stalled):
         if 'group' in self.kernel.services:
             self.kernel.post('group', stalled)
 
     def _start_probes(self):
-        wanted = self.path.wanted
+        wanted = self.path.pending_probes
         while wanted:
             task = asyncio.create_task(self._probe(wanted.pop()))
             self._probes.add(task)
@@ -90,4 +94,4 @@
             return
         path = state.table.health_paths.get(entry.service, '/')
         result = await probe(self.clock, entry, path)
-        self.path.end_probe(wanted, result)
+        self.path.handle_probe_result(wanted, result)
--- a/src/liftmount/_internal/services/probes.py
+++ b/src/liftmount/_internal/services/probes.py
@@ -8,29 +8,29 @@
 from liftmount._internal.network.http import HttpConnection
 
 # A target answers in some 10 ms; a slow one accepts the connection anyway.
-PROBE_MS = 100
-STEP_MS = 25
+PROBE_TIMEOUT_MS = 100
+WAIT_STEP_MS = 25
 # Turns of the event loop in which an answer that has arrived gets here: on
 # a busy balancer it may have come in the same turn as the end of the wait.
-LAST_TURNS = 5
+FINAL_LOOP_TURNS = 5
 # A step that takes this much longer means that this balancer was held up.
-HELD_UP_MS = 75
+MAX_LOOP_DELAY_MS = 75
 INSTANCE_HEADER = 'instance-id'
 
 
 async def probe(clock, target, path: str) -> ProbeResult:
     """Connect to the health check of a target and judge the answer."""
     connection = HttpConnection(target.endpoint)
-    task = asyncio.create_task(_ask(connection, target, path))
+    task = asyncio.create_task(_check_health(connection, target, path))
     try:
-        for _ in range(PROBE_MS // STEP_MS):
+        for _ in range(PROBE_TIMEOUT_MS // WAIT_STEP_MS):
             before_ms = clock.now_ms()
-            await asyncio.wait({task}, timeout=seconds(STEP_MS))
+            await asyncio.wait({task}, timeout=seconds(WAIT_STEP_MS))
             if task.done():
                 return task.result()
-            if clock.now_ms() - before_ms > STEP_MS + HELD_UP_MS:
+            if clock.now_ms() - before_ms > WAIT_STEP_MS + MAX_LOOP_DELAY_MS:
                 return ProbeResult.VOID
-        for _ in range(LAST_TURNS):
+        for _ in range(FINAL_LOOP_TURNS):
             await asyncio.sleep(0)
         if task.done():
             return task.result()
@@ -42,18 +42,18 @@
         connection.close()
 
 
-async def _ask(connection, target, path):
+async def _check_health(connection, target, path):
     try:
-        answer = await connection.request('GET', path, 2 * PROBE_MS)
+        answer = await connection.request('GET', path, 2 * PROBE_TIMEOUT_MS)
     except HttpError as error:
-        return _result_of(error.__cause__)
+        return _classify_error(error.__cause__)
     name = answer.headers.get(INSTANCE_HEADER, target.name)
     if name != target.name:
         return ProbeResult.REPLACED
     return ProbeResult.ANSWERED
 
 
-def _result_of(error):
+def _classify_error(error):
     """Return the result of a probe that ended with an error."""
     match error:
         case ConnectionError():
--- a/src/liftmount/_internal/services/pulls.py
+++ b/src/liftmount/_internal/services/pulls.py
@@ -9,9 +9,9 @@
 from liftmount._internal.models.members import Member
 from liftmount._internal.models.peer_messages import decode_snapshot
 from liftmount._internal.network.http import HttpConnection
-from liftmount._internal.services.knowledge import KNOWLEDGE_PATH
-from liftmount._internal.services.knowledge import LATEST_REVISION
 from liftmount._internal.services.packet_path import PacketPath
+from liftmount._internal.services.snapshots import LATEST_REVISION
+from liftmount._internal.services.snapshots import SNAPSHOT_PATH
 
 # How soon the answer to a pull has to begin.  A configuration of hundreds of
 # routes is some 10 KB when compressed; on a link of 5 Mbit/s with eight
@@ -29,10 +29,10 @@
     return answer.body
 
 
-class KnowledgePuller:
+class SnapshotPuller:
     """Pulls knowledge; each pull has a task and a connection of its own.
 
-    ``on_end(member, knowledge)`` hears of the end of each; ``knowledge``
+    ``on_end(member, knowledge)`` hears of the end of each; ``snapshot``
     is None if it can't be had.
     """
 
@@ -51,17 +51,17 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _pull(self, member, scope):
-        knowledge = None
+        snapshot = None
         try:
-            knowledge = await self._ask(member, scope)
+            snapshot = await self._request(member, scope)
         finally:
-            self._on_end(member, knowledge)
+            self._on_end(member, snapshot)
 
-    async def _ask(self, member, scope):
-        path = f'{KNOWLEDGE_PATH}{self._known_revisions(scope)}'
+    async def _request(self, member, scope):
+        path = f'{SNAPSHOT_PATH}{self._format_revisions(scope)}'
         try:
             data = await get_from_peer(member.control, path)
-            self._path.note_transfer(len(data))
+            self._path.record_transfer(len(data))
             return decode_snapshot(data)
         except (HttpError, PacketError) as error:
             self._counters.count('retried.pull_failed')
@@ -70,13 +70,13 @@
             )
         return None
 
-    def _known_revisions(self, scope):
+    def _format_revisions(self, scope):
         """Return what the packet path holds, as a pull says it."""
         table = self._path.state.table
         version = table.version if table else 0
         revisions = {
             Scope.ROUTES: LATEST_REVISION,
-            Scope.NEWER: self._path.beliefs.directory.revision,
+            Scope.NEWER: self._path.store_cache.directory.revision,
             Scope.ALL: 0,
         }
         return f'{revisions[scope]}/{version}'
--- a/src/liftmount/_internal/services/readiness.py
+++ b/src/liftmount/_internal/services/readiness.py
@@ -13,20 +13,20 @@
     """Owns the server that is asked for readiness.
 
     ``bound`` is a socket that is bound to the address already, or None.
-    ``why_not()`` returns an empty text when the balancer is ready, else
+    ``get_reason()`` returns an empty text when the balancer is ready, else
     the reason.
     """
 
     name = 'readiness'
 
     def __init__(
-        self, kernel, address: Endpoint, bound, path: str, why_not, log
+        self, kernel, address: Endpoint, bound, path: str, get_reason, log
     ):
         super().__init__(kernel)
         self._address = address
         self._bound = bound
         self._path = path
-        self._why_not = why_not
+        self._get_reason = get_reason
         self._log = log
         self._last = None
         self._server = HttpServer(self._answer)
@@ -38,7 +38,7 @@
     def _answer(self, path):
         if path != self._path:
             return HttpAnswer(HTTP_NOT_FOUND, b'', {})
-        reason = self._why_not()
+        reason = self._get_reason()
         if reason != self._last:
             self._last = reason
             event = 'not_ready' if reason else 'ready'
--- a/src/liftmount/_internal/services/left_out.py
+++ b/src/liftmount/_internal/services/rejections.py
@@ -16,7 +16,7 @@
 
 
 @frozen
-class _Object:
+class _RejectedObject:
     """The revision at which an object was refused, and its bad fields."""
 
     revision: int
@@ -24,7 +24,7 @@
 
 
 @define
-class LeftOut:
+class RejectedObjects:
     """Hears of what feeds can't use; tells it once an object and revision.
 
     A list is read again and again, and so is what another writer left in it.
@@ -32,9 +32,9 @@
 
     log: StructuredLog
     metrics: Metrics
-    objects: dict[str, _Object] = Factory(dict)
+    objects: dict[str, _RejectedObject] = Factory(dict)
 
-    def note(self, key: str, revision: int, problems) -> None:
+    def record(self, key: str, revision: int, problems) -> None:
         """Note all that is wrong with one state of an object, maybe nothing.
 
         ``problems`` are StoredObjectErrors.
@@ -45,7 +45,7 @@
             return
         known = self.objects.pop(key, None)
         fields = tuple(one.field for one in problems[:MAX_PROBLEMS])
-        self.objects[key] = _Object(revision, fields)
+        self.objects[key] = _RejectedObject(revision, fields)
         if len(self.objects) > MAX_OBJECTS:
             del self.objects[next(iter(self.objects))]
         if known is not None and known.revision == revision:
--- a/src/liftmount/_internal/services/knowledge.py
+++ b/src/liftmount/_internal/services/snapshots.py
@@ -8,67 +8,69 @@
 from liftmount._internal.network.http_messages import HTTP_NOT_FOUND
 from liftmount._internal.network.http_messages import HTTP_OK
 from liftmount._internal.network.http_messages import HttpAnswer
-from liftmount._internal.services.beliefs import Beliefs
+from liftmount._internal.services.store_cache import StoreCache
 from liftmount._internal.utils.metrics import Metrics
 
-KNOWLEDGE_PATH = '/knowledge/'
+SNAPSHOT_PATH = '/knowledge/'
 # Who says that it knows this revision is told of no targets.
 LATEST_REVISION = 2**63 - 1
 # Children ask for the same when they hear of news.  Encoding 27,000 targets
 # takes 99 ms on a fast core, and no packet is read meanwhile.  Times that
 # are left for what is doubted are told too long by as much.
-TOLD_MS = 500
+ANSWER_CACHE_MS = 500
 
 
 @define
-class _Told:
+class _CachedAnswer:
     """An answer, and what it was made of."""
 
-    known: tuple
+    revisions: tuple
     made_ms: int
     answer: HttpAnswer
 
 
 @define
-class KnowledgeTeller:
+class SnapshotServer:
     """Answers pulls; the last answer is kept for those who ask the same."""
 
-    beliefs: Beliefs
+    store_cache: StoreCache
     clock: Clock
     counters: Metrics
-    _told: dict[str, _Told] = Factory(dict)
+    _cached: dict[str, _CachedAnswer] = Factory(dict)
 
-    def answer(self, asked: str) -> HttpAnswer:
+    def answer(self, query: str) -> HttpAnswer:
         """Tell what somebody does not know yet.
 
-        ``asked`` is the revision of targets and the version of routes that
+        ``query`` is the revision of targets and the version of routes that
         it knows, with a slash between.
         """
-        revision, _slash, version = asked.partition('/')
+        revision, _slash, version = query.partition('/')
         if not (revision.isdecimal() and version.isdecimal()):
             self.counters.count('refused.malformed_peer_message')
             return HttpAnswer(HTTP_NOT_FOUND, b'', {})
         self.counters.count('knowledge_given')
         now_ms = self.clock.now_ms()
-        told = self._told.get(asked)
-        if told is None or not self._still_holds(told, now_ms):
-            known = self.beliefs.knowledge(now_ms, int(revision), int(version))
-            answer = HttpAnswer(HTTP_OK, encode_snapshot(known), {})
-            told = _Told(self._known(), now_ms, answer)
+        cached = self._cached.get(query)
+        if cached is None or not self._is_current(cached, now_ms):
+            snapshot = self.store_cache.snapshot(
+                now_ms, int(revision), int(version)
+            )
+            answer = HttpAnswer(HTTP_OK, encode_snapshot(snapshot), {})
+            cached = _CachedAnswer(self._held_revisions(), now_ms, answer)
             # Only what was asked last: answers are large.
-            self._told = {asked: told}
-        return told.answer
+            self._cached = {query: cached}
+        return cached.answer
 
-    def _still_holds(self, told, now_ms):
-        is_young = now_ms - told.made_ms <= TOLD_MS
-        return is_young and told.known == self._known()
+    def _is_current(self, cached, now_ms):
+        is_young = now_ms - cached.made_ms <= ANSWER_CACHE_MS
+        return is_young and cached.revisions == self._held_revisions()
 
-    def _known(self):
-        table = self.beliefs.state.table
+    def _held_revisions(self):
+        table = self.store_cache.state.table
         return (
-            self.beliefs.directory.revision,
-            self.beliefs.routes_revision,
+            self.store_cache.directory.revision,
+            self.store_cache.routes_revision,
             table.version if table else 0,
-            len(self.beliefs.directory.missing),
-            self.beliefs.evacuations.revision,
+            len(self.store_cache.directory.missing),
+            self.store_cache.evacuations.revision,
         )
--- a/src/liftmount/_internal/services/doubts.py
+++ b/src/liftmount/_internal/services/stall_reporter.py
@@ -5,17 +5,17 @@
 from liftmount._internal.models.peer_messages import encode_stall_report
 
 
-class DoubtTeller:
+class StallReporter:
     """Carries out what ``decisions/stall_reports.py`` decides.
 
-    ``send(datagram, names)`` sends to members; ``hold_out(action)`` hears
+    ``send(datagram, names)`` sends to members; ``eject(action)`` hears
     which target gets no new flows.
     """
 
-    def __init__(self, name, send, hold_out, log, counters):
+    def __init__(self, name, send, eject, log, counters):
         self._state = stall_reports.StallReportState(name)
         self._send = send
-        self._hold_out = hold_out
+        self._eject = eject
         self._log = log
         self._counters = counters
 
@@ -23,7 +23,7 @@
         """Take over who else is there."""
         self._state.peers = names
 
-    def hear(self, datagram: bytes, now_ms: int) -> None:
+    def receive(self, datagram: bytes, now_ms: int) -> None:
         """Take over what a member tells; raises PacketError."""
         self._counters.count('doubts_heard')
         event = stall_reports.StallReportReceived(
@@ -46,4 +46,4 @@
                         for_ms=action.until_ms - event.now_ms,
                         sources=action.sources,
                     )
-                    self._hold_out(action)
+                    self._eject(action)
--- a/src/liftmount/_internal/services/early.py
+++ b/src/liftmount/_internal/services/startup.py
@@ -14,7 +14,7 @@
 from liftmount._internal.models.feeds import FeedUpdate
 from liftmount._internal.models.feeds import Listing
 from liftmount._internal.models.records import changed
-from liftmount._internal.services.packet_path import bind_packets
+from liftmount._internal.services.packet_path import bind_packet_socket
 from liftmount._internal.services.packet_path import PacketPath
 from liftmount._internal.services.packet_path import TICK_MS
 from liftmount._internal.utils.metrics import Metrics
@@ -26,18 +26,18 @@
 from liftmount._internal.utils.structured import StructuredLog
 
 # Connections that may wait until readiness is answered.
-BACKLOG = 16
+LISTEN_BACKLOG = 16
 
 
 @define
-class EarlyBalancer:
+class StartupContext:
     """What a balancer has from its first moment on.
 
     ``readiness`` is the bound socket of the server that is asked for
-    readiness, None if its address is not free.  ``known`` tells by feed which
-    list was read, without its items, ``begun`` holds the first lists that are
-    still under way.  ``stops`` has an entry if the process was told to stop
-    before its event loop ran.  ``left_out`` is a LeftOut as soon as something
+    readiness, None if its address is not free.  ``listings`` tells by feed which
+    list was read, without its items, ``pending_lists`` holds the first lists that are
+    still under way.  ``stop_signals`` has an entry if the process was told to stop
+    before its event loop ran.  ``rejected_objects`` is a RejectedObjects as soon as something
     in the store can't be used.
     """
 
@@ -47,26 +47,26 @@
     metrics: Metrics
     path: PacketPath
     readiness: RawSocket | None
-    known: dict[str, Listing] = Factory(dict)
-    begun: dict = Factory(dict)
-    stops: list = Factory(list)
-    left_out: object = None
+    listings: dict[str, Listing] = Factory(dict)
+    pending_lists: dict = Factory(dict)
+    stop_signals: list = Factory(list)
+    rejected_objects: object = None
 
-    def note_problems(self, key: str, revision: int, problems) -> None:
+    def record_problems(self, key: str, revision: int, problems) -> None:
         """Note all that is wrong with an object of the store."""
-        if self.left_out is None:
+        if self.rejected_objects is None:
             if not problems:
                 return
             # A start does without, unless there is something to refuse.
-            from liftmount._internal.services.left_out import LeftOut
+            from liftmount._internal.services.rejections import RejectedObjects
 
-            self.left_out = LeftOut(self.log, self.metrics)
-        self.left_out.note(key, revision, problems)
+            self.rejected_objects = RejectedObjects(self.log, self.metrics)
+        self.rejected_objects.record(key, revision, problems)
 
 
-def make_early(
+def create_startup_context(
     settings: EntrySettings, codec, bound: RawSocket | None = None
-) -> EarlyBalancer:
+) -> StartupContext:
     """Bind the sockets that others send to.
 
     ``codec`` reads and writes packets, see PacketPath.  ``bound`` is the
@@ -77,10 +77,10 @@
     log = StructuredLog(clock)
     log.write('process', 'start', instance=settings.name)
     metrics = Metrics()
-    bound = bind_packets(settings.packets, bound)
+    bound = bind_packet_socket(settings.packets, bound)
     path = PacketPath(clock, codec, settings, log, metrics, bound)
     readiness = _bind_readiness(settings.readiness, log)
-    return EarlyBalancer(settings, clock, log, metrics, path, readiness)
+    return StartupContext(settings, clock, log, metrics, path, readiness)
 
 
 def _bind_readiness(address, log):
@@ -89,7 +89,7 @@
     bound.setsockopt(SOL_SOCKET, SO_REUSEADDR, 1)
     try:
         bound.bind(address.socket_address())
-        bound.listen(BACKLOG)
+        bound.listen(LISTEN_BACKLOG)
     except OSError as error:
         bound.close()
         log.write('readiness', 'not_bound', cause=str(error))
@@ -97,7 +97,7 @@
     return bound
 
 
-class EarlyServing:
+class StartupLoop:
     """Serves packets in turns, as soon as the first lists are there.
 
     ``lists`` are lists that the store was asked for, by feed; each has
@@ -105,33 +105,33 @@
     once it is there and raises PlatformError.
     """
 
-    def __init__(self, early: EarlyBalancer, lists: dict):
-        self._early = early
+    def __init__(self, startup: StartupContext, lists: dict):
+        self._startup = startup
         self._lists = dict(lists)
         self._poll = select.poll()
-        self._ticked_ms = 0
+        self._last_tick_ms = 0
         for one in lists.values():
             self._poll.register(one.socket, select.POLLOUT)
 
-    def turn(self) -> None:
+    def run_once(self) -> None:
         """Do what can be done without waiting."""
-        path = self._early.path
+        path = self._startup.path
         if self._lists:
             self._advance_lists()
         if path.state.is_complete:
             path.read()
-        now_ms = self._early.clock.now_ms()
-        if now_ms - self._ticked_ms >= TICK_MS:
-            self._ticked_ms = now_ms
+        now_ms = self._startup.clock.now_ms()
+        if now_ms - self._last_tick_ms >= TICK_MS:
+            self._last_tick_ms = now_ms
             path.tick()
 
-    def hand_over(self) -> None:
+    def release_pending_lists(self) -> None:
         """Leave the lists that are not there yet to the event loop.
 
         What has arrived of them is kept, as a transfer takes long on a slow
         link.
         """
-        self._early.begun.update(self._lists)
+        self._startup.pending_lists.update(self._lists)
         self._lists.clear()
 
     def _advance_lists(self):
@@ -141,26 +141,28 @@
                 self._advance(feed, one)
 
     def _advance(self, feed, one):
-        early = self._early
+        startup = self._startup
         try:
             listing = one.advance()
         except Exception as error:
             # The feed asks again, once it runs; whatever the store sent
             # must not end the start.
-            early.log.write(feed, 'first_list_failed', cause=repr(error))
-            self._end(feed, one)
+            startup.log.write(feed, 'first_list_failed', cause=repr(error))
+            self._remove_list(feed, one)
             return
         if listing is None:
             events = select.POLLIN if one.is_request_sent else select.POLLOUT
             self._poll.modify(one.socket, events)
             return
-        self._end(feed, one)
-        early.known[feed] = changed(listing, items=())
+        self._remove_list(feed, one)
+        startup.listings[feed] = changed(listing, items=())
         news = FeedUpdate(feed, listing)
-        now_ms = early.clock.now_ms()
-        early.path.execute(early.path.beliefs.take_news(news, now_ms))
+        now_ms = startup.clock.now_ms()
+        startup.path.execute(
+            startup.path.store_cache.apply_feed_update(news, now_ms)
+        )
 
-    def _end(self, feed, one):
+    def _remove_list(self, feed, one):
         del self._lists[feed]
         self._poll.unregister(one.socket)
         one.socket.close()
--- a/src/liftmount/_internal/services/beliefs.py
+++ b/src/liftmount/_internal/services/store_cache.py
@@ -27,7 +27,7 @@
 
 
 @define
-class Beliefs:
+class StoreCache:
     """Entries of targets and the configuration, as forwarding uses them.
 
     ``routes_revision`` is the store's revision as of which the routes are
@@ -40,16 +40,16 @@
     evacuations: EvacuationState = Factory(EvacuationState)
     routes_revision: int = 0
 
-    def take_news(self, posted: FeedUpdate, now_ms: int) -> list:
+    def apply_feed_update(self, posted: FeedUpdate, now_ms: int) -> list:
         """Take over what the store answered."""
         news = posted.update
         is_listing = isinstance(news, Listing)
         items = news.items if is_listing else news.written
         if posted.feed == ROUTES:
             self.routes_revision = max(self.routes_revision, news.revision)
-            return self._take_tables(items, now_ms)
+            return self._apply_tables(items, now_ms)
         if posted.feed == EVACUATIONS:
-            return self.take_evacuated(news, now_ms)
+            return self.apply_evacuations(news, now_ms)
         if not (is_listing and news.may_lag):
             self.state.are_targets_proven = True
         if is_listing:
@@ -58,14 +58,16 @@
             event = directory.TargetsChanged(
                 items, news.removed, news.revision, now_ms
             )
-        return self._settle(directory.decide(self.directory, event), now_ms)
+        return self._apply_and_settle(
+            directory.decide(self.directory, event), now_ms
+        )
 
-    def take_knowledge(self, known: Snapshot, now_ms: int) -> list:
+    def apply_snapshot(self, known: Snapshot, now_ms: int) -> list:
         """Take over all that a peer knows."""
         # First, so that nothing is placed where nothing may go.
         actions = []
         if known.evacuated is not None:
-            actions += self.take_evacuated(known.evacuated, now_ms)
+            actions += self.apply_evacuations(known.evacuated, now_ms)
         for one in known.retired:
             until_ms = now_ms + one.left_ms
             event = flows.FormerTarget(one.entry, until_ms)
@@ -76,15 +78,15 @@
                 known.targets, known.targets_revision, now_ms, known.missing
             )
             found = directory.decide(self.directory, event)
-            actions += self._settle(found, now_ms)
+            actions += self._apply_and_settle(found, now_ms)
         if known.table is not None:
             self.routes_revision = max(
                 self.routes_revision, known.routes_revision
             )
-            actions += self._take_tables([known.table], now_ms)
+            actions += self._apply_tables([known.table], now_ms)
         return actions
 
-    def take_evacuated(
+    def apply_evacuations(
         self, news: Listing | Delta | Evacuated, now_ms: int
     ) -> list:
         """Take over which failure domains are evacuated."""
@@ -98,16 +100,16 @@
             actions += forwarding.decide(self.state, event)
         return actions
 
-    def lose_store(self, now_ms: int) -> None:
+    def record_store_lost(self, now_ms: int) -> None:
         """Note that the store gave no answer."""
         directory.decide(self.directory, directory.StoreLost(now_ms))
 
-    def pass_time(self, tick: Tick) -> list:
+    def expire_entries(self, tick: Tick) -> list:
         """Let doubts about targets expire."""
         found = directory.decide(self.directory, tick)
-        return self._believe(found, tick.now_ms)
+        return self._apply_entries(found, tick.now_ms)
 
-    def knowledge(
+    def snapshot(
         self, now_ms: int, revision: int = 0, version: int = 0
     ) -> Snapshot:
         """Return what somebody does not know yet.
@@ -132,8 +134,8 @@
             evacuated=evacuated,
         )
 
-    def _settle(self, found, now_ms):
-        actions = self._believe(found, now_ms)
+    def _apply_and_settle(self, found, now_ms):
+        actions = self._apply_entries(found, now_ms)
         event = flows.TargetsSettled(now_ms)
         return actions + forwarding.decide(self.state, event)
 
@@ -145,7 +147,7 @@
             revision=self.evacuations.revision,
         )
 
-    def _take_tables(self, tables, now_ms):
+    def _apply_tables(self, tables, now_ms):
         actions = []
         for table in tables:
             before = self.state.table
@@ -161,7 +163,7 @@
             )
         return actions
 
-    def _believe(self, found, now_ms):
+    def _apply_entries(self, found, now_ms):
         actions = []
         for action in found:
             match action:
--- a/src/liftmount/platform/daemon.py
+++ b/src/liftmount/platform/daemon.py
@@ -4,9 +4,9 @@
 import os
 
 from liftmount._internal.models.entry_settings import EntrySettings
-from liftmount._internal.services.early import EarlyBalancer
 from liftmount._internal.services.entry import Adapter
 from liftmount._internal.services.entry import EntryBalancer
+from liftmount._internal.services.startup import StartupContext
 from liftmount.platform.settings import load_settings
 from liftmount.platform.store_feed import make_feeds
 
@@ -28,7 +28,7 @@
     return Adapter(make_feeds, load, stamp, READY_PATH)
 
 
-def main(path: str, startup: EarlyBalancer) -> int:
+def main(path: str, startup: StartupContext) -> int:
     """Run a balancer with the settings at ``path``; return its exit status.
 
     ``startup`` is the context that already serves packets.
--- a/src/liftmount/platform/start.py
+++ b/src/liftmount/platform/start.py
@@ -8,8 +8,8 @@
 import sys
 
 from liftmount._internal.exceptions import ConfigurationError
-from liftmount._internal.services.early import EarlyServing
-from liftmount._internal.services.early import make_early
+from liftmount._internal.services.startup import create_startup_context
+from liftmount._internal.services.startup import StartupLoop
 from liftmount._internal.utils.import_turns import ImportTurns
 from liftmount.platform import packet_headers
 from liftmount.platform.feeds import SOURCES
@@ -31,21 +31,21 @@
         for problem in error.problems:
             print(f'liftmount: {problem}', file=sys.stderr)
         return STATUS_USAGE
-    startup = make_early(settings, packet_headers, bound)
-    startup.stops = stops
+    startup = create_startup_context(settings, packet_headers, bound)
+    startup.stop_signals = stops
     lists = {
         feed: InitialList(
-            settings.store, startup.clock, kind, read, startup.note_problems
+            settings.store, startup.clock, kind, read, startup.record_problems
         )
         for feed, (kind, read) in SOURCES.items()
     }
     # Keeps asyncio from loading OpenSSL, which is not used.
     sys.modules.setdefault('ssl', None)
-    serving = EarlyServing(startup, lists)
-    with ImportTurns(serving.turn):
+    serving = StartupLoop(startup, lists)
+    with ImportTurns(serving.run_once):
         from liftmount.platform.daemon import main
-    serving.turn()
-    serving.hand_over()
+    serving.run_once()
+    serving.release_pending_lists()
     # Excludes imported modules from garbage collection: they stay loaded.
     gc.freeze()
     gc.enable()
--- a/tests/features/steps/early_steps.py
+++ b/tests/features/steps/early_steps.py
@@ -13,8 +13,8 @@
 from liftmount._internal.models.addresses import parse_endpoint
 from liftmount._internal.models.entry_settings import EntrySettings
 from liftmount._internal.models.feeds import TARGETS
-from liftmount._internal.services.early import EarlyServing
-from liftmount._internal.services.early import make_early
+from liftmount._internal.services.startup import create_startup_context
+from liftmount._internal.services.startup import StartupLoop
 from liftmount.platform import packet_headers
 from liftmount.platform.feeds import SOURCES
 from liftmount.platform.initial_lists import InitialList
@@ -79,20 +79,24 @@
 
 def start_early(context):
     """Start a balancer, with its lists under way."""
-    early = make_early(make_settings(context), packet_headers)
-    context.add_cleanup(early.path.socket.close)
-    if early.readiness is not None:
-        context.add_cleanup(early.readiness.close)
+    startup = create_startup_context(make_settings(context), packet_headers)
+    context.add_cleanup(startup.path.socket.close)
+    if startup.readiness is not None:
+        context.add_cleanup(startup.readiness.close)
     lists = {
         feed: InitialList(
-            early.settings.store, early.clock, kind, read, early.note_problems
+            startup.settings.store,
+            startup.clock,
+            kind,
+            read,
+            startup.record_problems,
         )
         for feed, (kind, read) in SOURCES.items()
     }
     for one in lists.values():
         context.add_cleanup(one.socket.close)
-    context.early = early
-    context.serving = EarlyServing(early, lists)
+    context.startup = startup
+    context.serving = StartupLoop(startup, lists)
 
 
 def take_turns(context, until, patience_s=PATIENCE_S):
@@ -103,7 +107,7 @@
         before_s = time.monotonic()
         if before_s >= end_s:
             return False
-        context.serving.turn()
+        context.serving.run_once()
         spent_s = time.monotonic() - before_s
         context.longest_s = max(context.longest_s, spent_s)
         time.sleep(PAUSE_S)
@@ -128,20 +132,20 @@
 
 @when('a balancer takes turns until it knows routes and targets')
 def turns_until_known(context):
-    if 'early' not in context:
+    if 'startup' not in context:
         start_early(context)
-    state = context.early.path.state
+    state = context.startup.path.state
     assert take_turns(context, lambda: state.is_complete)
 
 
 @then("it knows {count:d} targets, as of the store's revision")
 def knows_targets(context, count):
-    early = context.early
-    assert len(early.path.state.tags.entries) == count
+    startup = context.startup
+    assert len(startup.path.state.tags.entries) == count
     revision = context.store.store.revision
-    known = early.known[TARGETS]
-    assert known.revision == revision and known.size_bytes, early.known
-    assert early.path.beliefs.directory.revision == revision
+    known = startup.listings[TARGETS]
+    assert known.revision == revision and known.size_bytes, startup.listings
+    assert startup.path.store_cache.directory.revision == revision
 
 
 @then('the target gets the opening within further turns')
@@ -170,8 +174,8 @@
     """Return the events that the balancer has logged."""
     reading, writing = os.pipe()
     with os.fdopen(reading, 'rb') as stream:
-        context.early.log._descriptor = writing
-        context.early.log.flush()
+        context.startup.log._descriptor = writing
+        context.startup.log.flush()
         os.close(writing)
         lines = stream.read().splitlines()
     return [json.loads(line)['event'] for line in lines]
@@ -179,8 +183,8 @@
 
 @then('it knows nothing, no turn took long, and it {what}')
 def knows_nothing(context, what):
-    assert not context.early.known
-    assert not context.early.path.state.is_complete
+    assert not context.startup.listings
+    assert not context.startup.path.state.is_complete
     assert context.longest_s < LONGEST_TURN_S, context.longest_s
     has_failed = 'first_list_failed' in said(context)
     assert has_failed == (what == 'says that a list failed'), what
@@ -200,14 +204,16 @@
 @when('a balancer starts with that socket')
 def start_with_socket(context):
     settings = make_settings(context)
-    context.early = make_early(settings, packet_headers, context.bound)
-    context.add_cleanup(context.early.path.socket.close)
-    context.add_cleanup(context.early.readiness.close)
+    context.startup = create_startup_context(
+        settings, packet_headers, context.bound
+    )
+    context.add_cleanup(context.startup.path.socket.close)
+    context.add_cleanup(context.startup.readiness.close)
 
 
 @then('it listens at the address of its settings, {how}')
 def listens(context, how):
-    found = context.early.path.socket
+    found = context.startup.path.socket
     place = endpoint(context, BALANCER, PACKETS).socket_address()
     assert found.getsockname() == place
     assert (found is context.bound) == (how == 'by that socket')
@@ -224,5 +230,5 @@
 
 @then('a balancer starts without it and says so')
 def starts_without(context):
-    assert context.early.readiness is None
+    assert context.startup.readiness is None
     assert 'not_bound' in said(context)
--- a/tests/features/steps/joining_steps.py
+++ b/tests/features/steps/joining_steps.py
@@ -25,10 +25,10 @@
 from liftmount._internal.models.members import Member
 from liftmount._internal.models.segments import RouteTable
 from liftmount._internal.network.http_messages import HTTP_NOT_FOUND
-from liftmount._internal.services.beliefs import Beliefs
 from liftmount._internal.services.group import GroupOptions
 from liftmount._internal.services.group import GroupService
-from liftmount._internal.services.knowledge import KnowledgeTeller
+from liftmount._internal.services.snapshots import SnapshotServer
+from liftmount._internal.services.store_cache import StoreCache
 from liftmount._internal.utils.metrics import Metrics
 from liftmount._internal.utils.structured import StructuredLog
 from tests.features.steps.forwarding_steps import make_entry
@@ -208,34 +208,36 @@
 def make_beliefs():
     """Return the beliefs of a balancer that knows nothing."""
     state = ForwardingState('a', FLOW_MAX_AGE_MS)
-    return Beliefs(state, StructuredLog(ManualClock(START_MS)))
+    return StoreCache(state, StructuredLog(ManualClock(START_MS)))
 
 
 @given('a balancer that knows targets up to revision {revision:d} and routes '
        'of version {version:d}')  # fmt: skip
 def knowing_balancer(context, revision, version):
-    context.beliefs = make_beliefs()
+    context.store_cache = make_beliefs()
     entries = (make_entry('one', 'guide'), make_entry('two', 'guide'))
     table = RouteTable(version, {}, {}, 15_000)
-    context.beliefs.take_news(
+    context.store_cache.apply_feed_update(
         FeedUpdate(TARGETS, Listing(entries, revision)), START_MS
     )
-    context.beliefs.take_news(
+    context.store_cache.apply_feed_update(
         FeedUpdate(ROUTES, Listing((table,), 3)), START_MS
     )
 
 
 @when('all its targets vanish from the store')
 def targets_vanish(context):
-    listing = Listing((), context.beliefs.directory.revision + 1)
-    context.beliefs.take_news(FeedUpdate(TARGETS, listing), START_MS)
+    listing = Listing((), context.store_cache.directory.revision + 1)
+    context.store_cache.apply_feed_update(
+        FeedUpdate(TARGETS, listing), START_MS
+    )
 
 
 @when('a newcomer takes over what it is told')
 def newcomer_takes_over(context):
     context.newcomer = make_beliefs()
-    data = wire.encode_snapshot(context.beliefs.knowledge(START_MS))
-    context.newcomer.take_knowledge(wire.decode_snapshot(data), START_MS)
+    data = wire.encode_snapshot(context.store_cache.snapshot(START_MS))
+    context.newcomer.apply_snapshot(wire.decode_snapshot(data), START_MS)
 
 
 @then('the newcomer knows {count:d} targets')
@@ -247,7 +249,7 @@
 
 @when('somebody asks who knows revision {revision:d} and version {version:d}')
 def somebody_asks(context, revision, version):
-    known = context.beliefs.knowledge(START_MS, revision, version)
+    known = context.store_cache.snapshot(START_MS, revision, version)
     context.told = wire.decode_snapshot(wire.encode_snapshot(known))
 
 
@@ -260,7 +262,7 @@
 @when('8 peers ask for {asked}, {event} before the last 4')
 def many_ask(context, asked, event):
     clock = ManualClock(START_MS)
-    teller = KnowledgeTeller(context.beliefs, clock, Metrics())
+    teller = SnapshotServer(context.store_cache, clock, Metrics())
     answers = [teller.answer(asked) for _ in range(4)]
     match event.split():
         case [interval, 'ms', *_]:
@@ -269,7 +271,9 @@
             teller.answer(other)
         case [*_, 'written']:
             delta = Delta((make_entry('third', 'guide'),), (), 13, 12)
-            context.beliefs.take_news(FeedUpdate(TARGETS, delta), START_MS)
+            context.store_cache.apply_feed_update(
+                FeedUpdate(TARGETS, delta), START_MS
+            )
     answers += [teller.answer(asked) for _ in range(4)]
     context.answers = answers
 
@@ -289,10 +293,10 @@
         failure_domain='a',
         peer=Endpoint('127.0.0.1', 1),
         seeds=(),
-        spread=0.5,
+        jitter=0.5,
         times=freshness_times(),
     )
-    path = SimpleNamespace(beliefs=make_beliefs(), started_ms=START_MS)
+    path = SimpleNamespace(store_cache=make_beliefs(), started_ms=START_MS)
     context.metrics = Metrics()
     group = GroupService(
         Kernel(ManualClock(START_MS)),
@@ -318,7 +322,7 @@
 
 @when('a peer asks for {questions} or nothing')
 def ask_badly(context, questions):
-    teller = KnowledgeTeller(context.beliefs, ManualClock(0), Metrics())
+    teller = SnapshotServer(context.store_cache, ManualClock(0), Metrics())
     asked = [*questions.split(', '), '']
     context.answers = [teller.answer(one) for one in asked]
 
--- a/tests/features/steps/pieces_steps.py
+++ b/tests/features/steps/pieces_steps.py
@@ -18,7 +18,7 @@
 from liftmount._internal.models.segments import RouteKind
 from liftmount._internal.models.segments import RouteTable
 from liftmount._internal.models.segments import ServiceShare
-from liftmount._internal.services.left_out import LeftOut
+from liftmount._internal.services.rejections import RejectedObjects
 from liftmount._internal.utils.metrics import Metrics
 from liftmount._internal.utils.structured import StructuredLog
 from liftmount.platform import documents
@@ -57,18 +57,22 @@
 
     def __init__(self):
         self.metrics = Metrics()
-        self.left_out = LeftOut(StructuredLog(Clock()), self.metrics)
+        self.rejected_objects = RejectedObjects(
+            StructuredLog(Clock()), self.metrics
+        )
 
     def read(self, read, body, *arguments):
         """Read the body of an answer with one function of documents."""
         page = documents.read_document('/objects/servers', body)
         kind = objects.TARGET_KIND
-        report = make_unnamed_recorder(self.left_out.note)
+        report = make_unnamed_recorder(self.rejected_objects.record)
         return read(kind, page, *arguments, report)
 
     def decode(self, stored):
         """Return what stored entries of targets hold."""
-        return decode_all(stored, objects.read_target, self.left_out.note)
+        return decode_all(
+            stored, objects.read_target, self.rejected_objects.record
+        )
 
 
 def body_of(field, pieces):
@@ -101,8 +105,8 @@
 @then('the good entry is read, and {left_out} is left out')
 def good_is_read(context, left_out):
     assert [one.name for one in context.decoded.accepted] == ['i-1']
-    (key,) = context.pieces.left_out.objects
-    (field,) = context.pieces.left_out.objects[key].fields
+    (key,) = context.pieces.rejected_objects.objects
+    (field,) = context.pieces.rejected_objects.objects[key].fields
     assert left_out in (key, field), (key, field)
 
 
@@ -137,7 +141,7 @@
 def lines_tell(context, count):
     total = context.pieces.metrics.totals['refused.invalid_object']
     assert total == count, total
-    text = context.pieces.left_out.text()
+    text = context.pieces.rejected_objects.text()
     wanted = 'liftmount_left_out{object="servers/i-\\"x\\"",field=""} 1\n'
     assert text == wanted, text
 
@@ -148,13 +152,15 @@
     document = {'meta': meta, 'spec': ENTRY}
     stored = documents.read_object(objects.TARGET_KIND, document)
     decode_all(
-        [stored], lambda *_arguments: stored, context.pieces.left_out.note
+        [stored],
+        lambda *_arguments: stored,
+        context.pieces.rejected_objects.record,
     )
 
 
 @then('the metrics name it no more')
 def named_no_more(context):
-    assert context.pieces.left_out.text() == ''
+    assert context.pieces.rejected_objects.text() == ''
 
 
 @when('a configuration of another name is read')
--- a/tests/features/steps/proof_steps.py
+++ b/tests/features/steps/proof_steps.py
@@ -52,7 +52,9 @@
     """Let the store tell of targets."""
     path = context.path
     posted = FeedUpdate(TARGETS, news)
-    path.execute(path.beliefs.take_news(posted, path.clock.now_ms()))
+    path.execute(
+        path.store_cache.apply_feed_update(posted, path.clock.now_ms())
+    )
 
 
 @given('a target that {leaving}')
@@ -77,9 +79,9 @@
     silent = target_health.TargetSilent('one', path.clock.now_ms())
     path.execute(target_health.decide(health, silent))
     for _ in range(2 * target_health.PROBES_TO_DEAD):
-        for sent in path.wanted:
-            path.end_probe(sent, target_health.ProbeResult(result))
-        path.wanted.clear()
+        for sent in path.pending_probes:
+            path.handle_probe_result(sent, target_health.ProbeResult(result))
+        path.pending_probes.clear()
         path.clock.advance(target_health.PROBE_GAP_MS)
         tick = Tick(path.clock.now_ms())
         path.execute(target_health.decide(health, tick))
--- a/tests/features/steps/transfer_steps.py
+++ b/tests/features/steps/transfer_steps.py
@@ -162,13 +162,13 @@
         return first.is_request_sent and first._began_ms is not None
 
     assert take_turns(context, has_begun)
-    assert not context.early.path.state.is_complete
+    assert not context.startup.path.state.is_complete
 
 
 @when('its lists are handed over to the event loop')
 def hand_over(context):
-    context.serving.hand_over()
-    assert ROUTES in context.early.begun
+    context.serving.release_pending_lists()
+    assert ROUTES in context.startup.pending_lists
 
 
 class Listener:
@@ -194,10 +194,10 @@
         ROUTES,
         make_feed(context),
         [listener.name],
-        context.early.log,
+        context.startup.log,
         0.5,
         freshness_times(),
-        begun=context.early.begun.pop(ROUTES),
+        pending_list=context.startup.pending_lists.pop(ROUTES),
     )
     task = asyncio.create_task(service.run())
     try:
@@ -326,14 +326,14 @@
 def balancer_with_target(context, transfer):
     start_store(context)
     start_early(context)
-    path = context.early.path
+    path = context.startup.path
     path.clock = ManualClock(1_000_000)
     entry = make_entry('one', 'guide')
     service = PacketService(Kernel(path.clock), path)
     service.handle(FeedUpdate(TARGETS, Listing((entry,), 10)))
     match transfer.split():
         case ['transferred', size, 'bytes']:
-            path.note_transfer(int(size))
+            path.record_transfer(int(size))
         case ['got', 'routes', 'within', lasted, 'ms']:
             news = Delta((), (), 12, 10, int(lasted))
             service.handle(FeedUpdate(ROUTES, news))
@@ -341,7 +341,7 @@
 
 @when('four probes of the target, sent {after:d} ms later, are {result}')
 def four_probes(context, after, result):
-    path = context.early.path
+    path = context.startup.path
     path.clock.advance(after)
     sent_ms = path.clock.now_ms()
     health = path.state.health
@@ -351,11 +351,11 @@
         path.clock.advance(target_health.PROBE_GAP_MS)
         tick = Tick(path.clock.now_ms())
         path.execute(target_health.decide(health, tick))
-    for sent in list(path.wanted):
-        path.end_probe(sent, target_health.ProbeResult(result))
+    for sent in list(path.pending_probes):
+        path.handle_probe_result(sent, target_health.ProbeResult(result))
 
 
 @then('by its probes the target is {belief}')
 def target_believed(context, belief):
-    is_dead = context.early.path.state.health.is_dead('one')
-    assert is_dead == (belief == 'dead'), context.early.path.wanted
+    is_dead = context.startup.path.state.health.is_dead('one')
+    assert is_dead == (belief == 'dead'), context.startup.path.pending_probes
