--- a/src/liftmount/_internal/services/entry.py
+++ b/src/liftmount/_internal/services/entry.py
@@ -1,8 +1,8 @@
-"""A balancer at the entry of a platform, from start to stop.
+"""Life cycle of a balancer at the entry of a platform.
 
-What serves packets starts first and imports little, since a balancer that
-was killed serves nobody while it imports; the rest follows when packets
-flow.
+The services that forward packets start first and import little, because no
+packet is forwarded during an import after a restart.  The remaining services
+start once packets are forwarded.
 """
 
 import asyncio
@@ -24,26 +24,26 @@
 
 LOG_FLUSH_MS = 200
 POLL_MS = 50
-# How often a settings file that changed without a signal is looked for.
+# Interval between checks for a settings file that changed without SIGHUP.
 SETTINGS_CHECK_MS = 2_000
-# How long a start waits for the store before it looks for peers.
+# Longest wait for the store at startup before the group service starts.
 STORE_WAIT_MS = 400
-# How long a balancer that found the store serves before it looks for peers;
-# the imports take a tenth of a second on a small instance.
+# Pause before the group service starts if the store answered: its imports
+# delay packets on a small instance.
 GROUP_DELAY_MS = 1_000
-# What must be left of the time for a planned stop when the process ends.
+# Part of ``stop_ms`` that is reserved for the exit of the process.
 STOP_MARGIN_MS = 800
 
 
 @frozen
 class Adapter:
-    """What a platform has to give to a balancer.
+    """Interface between a platform and the balancer.
 
-    ``make_feeds`` takes settings, a function that hears of what is wrong
-    with an object, and metrics, and returns feeds by name.  ``load`` returns
-    the settings as they are now, or raises ConfigurationError; ``stamp``
-    returns what changes with the settings file.  ``ready_path`` is asked
-    by the fabric.
+    ``make_feeds(settings, record_problems, metrics)`` returns the feeds by
+    name; ``record_problems`` receives the problems of a stored object.
+    ``load()`` returns the current settings or raises ConfigurationError.
+    ``stamp()`` returns a value that changes with the settings file.
+    ``ready_path`` is the HTTP path of the fabric's readiness check.
     """
 
     make_feeds: object
@@ -53,9 +53,10 @@
 
 
 class EntryBalancer:
-    """One balancer: its services, and the order in which they start.
+    """A balancer process: its services and their start and stop order.
 
-    ``startup`` is what serves already.
+    ``startup`` is the state created before the event loop, including the
+    packet path.
     """
 
     def __init__(self, adapter: Adapter, startup: StartupContext):
@@ -99,7 +100,7 @@
             raise result
 
     def _register_services(self):
-        """Register the services that packets need."""
+        """Register the services that forwarding needs."""
         settings = self.settings
         self.kernel.register(PacketService(self.kernel, self.path))
         self.kernel.register(
@@ -132,14 +133,14 @@
             self.kernel.register(service)
 
     async def _join_group(self):
-        """Meet the other balancers, once this one serves or can't."""
+        """Start the group once packets are forwarded or the store is late."""
         until_ms = self.kernel.clock.now_ms() + STORE_WAIT_MS
         while not self.path.state.is_complete:
             if self.kernel.clock.now_ms() >= until_ms:
                 break
             await asyncio.sleep(seconds(POLL_MS))
         else:
-            # What waited is served before anything else is imported.
+            # Forward the queued packets before importing more modules.
             await asyncio.sleep(seconds(GROUP_DELAY_MS))
         await self._add_group_services()
 
@@ -160,9 +161,9 @@
             domain_count=max(1, len(settings.regions)),
         )
         feeds = [
-            one
-            for one in self.kernel.services.values()
-            if isinstance(one, FeedService)
+            service
+            for service in self.kernel.services.values()
+            if isinstance(service, FeedService)
         ]
         packets = self.kernel.lookup(PacketService.name)
         self.group = GroupService(
@@ -182,7 +183,7 @@
         await self.kernel.add(self.group)
 
     async def _shut_down(self):
-        """Forward until the fabric has moved on."""
+        """Forward until the fabric sends no more packets, then leave."""
         self.log.write('process', 'stopping')
         clock = self.kernel.clock
         started_ms = clock.now_ms()
@@ -199,7 +200,7 @@
         self.log.write('process', 'left', forwarded_ms=forwarded_ms)
 
     def _reload(self, cause):
-        """Take over settings that changed; keep the old ones if bad."""
+        """Apply changed settings; keep the old ones if they are invalid."""
         before = self.settings
         try:
             self.settings = self.adapter.load()
@@ -239,5 +240,5 @@
 
 
 def _compute_jitter(name):
-    """Return a share from 0 to 1 that differs by balancer."""
+    """Return a number from 0 to 1 derived from the balancer's name."""
     return crc32(name.encode()) / 2**32
--- a/src/liftmount/_internal/services/feeds.py
+++ b/src/liftmount/_internal/services/feeds.py
@@ -1,4 +1,4 @@
-"""Follows one kind of object in the platform's store."""
+"""Service that lists and watches one kind of object in the store."""
 
 import asyncio
 
@@ -14,14 +14,16 @@
 
 
 class FeedService(Service):
-    """Owns one feed and posts FeedUpdate and FeedFailed to its listeners.
+    """Follows one feed and posts its results to the listeners.
+
+    Posts FeedUpdate for each answer and FeedFailed for each failed call.
 
     ``feed`` has ``fetch(may_lag, timeout_ms)`` and ``watch(revision,
-    wait_ms, timeout_ms)``, which raise PlatformError.  ``listing`` is the
-    Listing that the listeners know already, if any, ``pending_list`` a list that is
-    under way with ``socket``, ``is_request_sent``, ``advance()``.  ``times``
-    are FreshnessTimes, ``recheck_ms`` is how long after a first list it is
-    proven.
+    wait_ms, timeout_ms)``; both raise PlatformError.  ``listing`` is the
+    list that the listeners already hold, if any.  ``pending_list`` is a list
+    whose transfer is in progress; it has ``socket``, ``is_request_sent`` and
+    ``advance()``.  ``times`` are FreshnessTimes.  ``recheck_ms`` is the delay
+    before the first list is confirmed by a watch.
     """
 
     def __init__(
@@ -59,13 +61,13 @@
         self._call_task = None
 
     async def run(self):
-        """Make one call after the other, until told to pause."""
+        """Make one call to the store after the other, until paused."""
         self._handle_event(self._first_event)
         await super().run()
 
-    def handle(self, posted):
-        """Pause, resume, ask at once, or take over what a peer told."""
-        match posted:
+    def handle(self, message):
+        """Handle pauses, resumes, and states received from peers."""
+        match message:
             case (
                 list_watch.Paused()
                 | list_watch.Resumed()
@@ -73,9 +75,9 @@
                 | list_watch.Confirmed()
                 | list_watch.ListKnown()
             ):
-                self._handle_event(posted)
+                self._handle_event(message)
             case _:
-                super().handle(posted)
+                super().handle(message)
 
     def _cancel(self):
         if self._call_task is not None:
@@ -116,7 +118,7 @@
         self._handle_event(event)
 
     def _log_call(self, action, event):
-        """Say what a call was for, and how it ended; each has a price."""
+        """Log a call and its outcome."""
         self.log.write(
             self.name,
             'called',
@@ -143,9 +145,9 @@
         except PlatformError as error:
             return self._report_failure(str(error))
         except TimeoutError:
-            return self._report_failure('the list under way makes no progress')
+            return self._report_failure('the list transfer made no progress')
         except Exception as error:
-            # Whatever the store sent must not end the feed for good.
+            # Whatever the store sent must not end the feed.
             self.log.write(self.name, 'call_broke', cause=repr(error))
             return self._report_failure(repr(error))
 
@@ -154,7 +156,7 @@
         return list_watch.CallFailed(cause)
 
     async def _finish_list(self):
-        """Receive the rest of a list that was asked for before."""
+        """Receive the rest of the list that was requested at startup."""
         pending_list, self._pending_list = self._pending_list, None
         try:
             while (listing := pending_list.advance()) is None:
@@ -190,7 +192,7 @@
             self.kernel.post(listener, message)
 
     async def stop(self):
-        """Close the connection."""
+        """Cancel the current call and close the connections."""
         self._cancel()
         if self._pending_list is not None:
             self._pending_list.socket.close()
--- a/src/liftmount/_internal/services/group.py
+++ b/src/liftmount/_internal/services/group.py
@@ -1,4 +1,4 @@
-"""The balancers of a deployment: who is there, and what they tell."""
+"""Membership and state dissemination among the balancers of a deployment."""
 
 import asyncio
 import secrets
@@ -57,9 +57,9 @@
 
 TICK_MS = 50
 MEMBERS_PATH = '/members/'
-# Failed calls in a row before another member shall read the store.
+# Consecutive failed calls before another member is to read the store.
 MAX_FAILED_CALLS = 2
-# Snapshot this old is also taken from other domains.
+# Age of the local state from which pulls from other domains are allowed.
 REMOTE_PULL_AGE_MS = 5_000
 MAX_FAREWELLS = 3
 VERSION_BYTES = 8
@@ -67,9 +67,11 @@
 
 @frozen
 class GroupOptions:
-    """Who this balancer is, and where it meets the others.
+    """Identity and addresses of this balancer within the group.
 
-    ``domain_count`` counts the failure domains of the deployment.
+    ``peer`` is the own address for other balancers, ``seeds`` are addresses
+    of some of them.  ``jitter`` is between 0 and 1 and depends on the name.
+    ``domain_count`` is the number of failure domains in the deployment.
     """
 
     name: str
@@ -82,9 +84,11 @@
 
 
 class GroupService(TickingService):
-    """Owns the sockets between balancers, membership and the relay.
+    """Exchanges membership and store state with the other balancers.
 
-    ``packets`` takes knowledge over, ``feeds`` read the store.
+    Owns the UDP and TCP sockets between balancers.  ``packets`` is the
+    PacketService that applies received state, ``feeds`` are the
+    FeedServices that read the store.
     """
 
     name = 'group'
@@ -124,7 +128,7 @@
     # Sockets.
 
     async def start(self):
-        """Bind the sockets and look for the others."""
+        """Bind the sockets and create the membership state."""
         options = self.options
         now_ms = self.clock.now_ms()
         incarnation = make_incarnation(
@@ -153,33 +157,33 @@
             self.socket.close()
 
     def tasks(self):
-        """Learn of the others besides."""
+        """Return the tick loop and the bootstrap task."""
         return [*super().tasks(), self._bootstrap()]
 
     async def _bootstrap(self):
-        """Learn of the others in a few turns."""
+        """Request member lists from seeds and members in several rounds."""
         waited_ms = 0
         for turn, at_ms in enumerate(bootstrap.ATTEMPT_TIMES_MS):
             await asyncio.sleep(seconds(at_ms - waited_ms))
             waited_ms = at_ms
             own = self.members.own
-            near = [
+            local = [
                 one
                 for one in self.members.reachable()
                 if one.failure_domain == own.failure_domain
             ]
-            wanted = bootstrap.answers_needed(turn)
+            missing_answers = bootstrap.answers_needed(turn)
             for peer in bootstrap.peers_to_ask(
-                own, turn, self.members.seeds, near
+                own, turn, self.members.seeds, local
             ):
-                wanted -= await self._request_members(peer)
-                if not wanted:
+                missing_answers -= await self._request_members(peer)
+                if not missing_answers:
                     break
         await asyncio.sleep(seconds(bootstrap.JOIN_COMPLETE_MS - waited_ms))
         self._update_relay_order()
 
     async def _request_members(self, peer):
-        """Ask a peer for members; return whether it answered."""
+        """Request a peer's member list; return whether it answered."""
         path = MEMBERS_PATH + encode_member(self.members.own).hex()
         try:
             members = decode_members(await get_from_peer(peer, path))
@@ -194,7 +198,7 @@
         return True
 
     def _add_members(self, members, peer):
-        """Take over a list of members; one line of the log tells of all."""
+        """Add a list of members and log their number."""
         now_ms = self.clock.now_ms()
         learned = membership.learn_all(self.members, members, now_ms)
         if not learned:
@@ -205,10 +209,10 @@
         self._update_relay_order()
 
     def _pull_from_responder(self, peer):
-        """Get what is not known yet from a member that is in reach.
+        """Pull missing state from the member that answered.
 
-        The store may turn this balancer away, or take seconds over a list
-        that a member tells compressed.
+        The store may reject calls or send a list slowly; a snapshot from a
+        member is compressed.
         """
         if self.store_cache.state.is_complete:
             return
@@ -220,7 +224,7 @@
                 self._execute(dissemination.decide(self.dissemination, event))
 
     def tick(self):
-        """Let time pass."""
+        """Run the time-based decisions."""
         tick = Tick(self.clock.now_ms())
         self._execute(membership.decide(self.members, tick))
         self._execute(dissemination.decide(self.dissemination, tick))
@@ -229,7 +233,7 @@
 
     def _on_datagram(self, data, source):
         if self.socket is None:
-            # It came while the socket was bound; peers say it again.
+            # Arrived while the socket was being bound; peers repeat it.
             self.counters.count('refused.not_started')
             return
         now_ms = self.clock.now_ms()
@@ -268,28 +272,28 @@
         return HttpAnswer(HTTP_NOT_FOUND, b'', {})
 
     def _answer_members(self, text):
-        """Tell a newcomer of members, and learn of it."""
+        """Add the joining member and return the members it needs."""
         try:
-            asker = decode_member(bytes.fromhex(text))
+            requester = decode_member(bytes.fromhex(text))
         except (ValueError, PacketError):
             self.counters.count('refused.malformed_peer_message')
             return HttpAnswer(HTTP_NOT_FOUND, b'', {})
         self.counters.count('members_given')
-        self._add_members([asker], asker.peer)
+        self._add_members([requester], requester.peer)
         known = [self.members.own, *self.members.reachable()]
-        told = bootstrap.members_to_send(known, asker)
-        return HttpAnswer(HTTP_OK, encode_members(told), {})
+        returned = bootstrap.members_to_send(known, requester)
+        return HttpAnswer(HTTP_OK, encode_members(returned), {})
 
     # Messages.
 
     def handle(self, message):
-        """Take note of what our own feeds read."""
+        """Process feed results, stalls and lookups of unknown targets."""
         match message:
-            case FeedUpdate(feed, news):
+            case FeedUpdate(feed, update):
                 self._failed_calls = 0
                 self._announce(has_platform=True)
-                self._record_store_answer(feed, news)
-                event = freshness.Answered(feed, news, self.clock.now_ms())
+                self._record_store_answer(feed, update)
+                event = freshness.Answered(feed, update, self.clock.now_ms())
                 self._execute(freshness.decide(self.freshness, event))
             case TargetUnknown():
                 self._execute(
@@ -312,22 +316,22 @@
     def _eject(self, action):
         self.packets.path.eject(action.target, action.until_ms)
 
-    def _record_store_answer(self, feed, news):
-        event = dissemination.StoreAnswered(feed, news, self.clock.now_ms())
+    def _record_store_answer(self, feed, update):
+        event = dissemination.StoreAnswered(feed, update, self.clock.now_ms())
         self._execute(dissemination.decide(self.dissemination, event))
         self._update_digest()
 
     def set_seeds(self, seeds):
-        """Take over new seeds; they are probed when no member is known."""
+        """Replace the seeds; they are probed while no member is known."""
         own = self.members.own.peer
         self.members.seeds = tuple(one for one in seeds if one != own)
 
     def announce_leaving(self):
-        """Tell the others that a planned stop has begun."""
+        """Announce to the other members that a planned stop has begun."""
         self._announce(leaving=True)
 
     def say_farewell(self):
-        """Tell a few members at once that this one has left."""
+        """Announce to a few members directly that this one has left."""
         self._announce(status=MemberStatus.LEFT)
         for member in self.members.reachable()[:MAX_FAREWELLS]:
             self._execute(membership.farewell(self.members, member))
@@ -342,33 +346,34 @@
     def _update_relay_order(self):
         domain = self.options.failure_domain
         others = self.members.members.values()
-        near = [one for one in others if one.failure_domain == domain]
-        order = tuple(relay_order([self.members.own, *near]))
-        far = [one for one in others if one.failure_domain != domain]
+        local = [one for one in others if one.failure_domain == domain]
+        order = tuple(relay_order([self.members.own, *local]))
+        remote = [one for one in others if one.failure_domain != domain]
         self.packets.post(
             DomainMembers(
-                local=1 + sum(one.eligible for one in near),
-                is_isolated=bool(far)
-                and not any(one.reachable for one in far),
-                fleet=self._estimate_fleet_size(near),
+                local=1 + sum(one.eligible for one in local),
+                is_isolated=bool(remote)
+                and not any(one.reachable for one in remote),
+                fleet=self._estimate_fleet_size(local),
             )
         )
         is_reordered = order != self.dissemination.order
-        names = tuple(one.name for one in far if one.eligible)
+        names = tuple(one.name for one in remote if one.eligible)
         dissemination.decide(
             self.dissemination, dissemination.RelayOrderChanged(order, names)
         )
         live = [one.name for one in self.members.reachable()]
         self._stall_reporter.set_peers(tuple(live))
         if is_reordered:
-            # The last member of a domain leaves nobody behind.
+            # The order is empty when the last member of a domain has left.
             root = order[0] if order else ''
             self.log.write(self.name, 'order', members=len(order), root=root)
 
-    def _estimate_fleet_size(self, near):
-        """Return about how many balancers there are, 0 if that is not known.
+    def _estimate_fleet_size(self, local):
+        """Estimate the number of balancers; return 0 if it is unknown.
 
-        All of the own domain are known, of others only some.
+        Only the members of the own domain are all known, so their number is
+        multiplied by the number of domains.
         """
         is_joined = (
             self.clock.now_ms() - self._started_ms
@@ -377,7 +382,7 @@
         is_alone = not self.members.members and self.members.seeds
         if not is_joined or is_alone:
             return 0
-        present = [one for one in near if one.status is not MemberStatus.LEFT]
+        present = [one for one in local if one.status is not MemberStatus.LEFT]
         return self.options.domain_count * (1 + len(present))
 
     def _update_revisions(self):
@@ -416,7 +421,7 @@
             self._update_relay_order()
 
     def _execute_dissemination(self, action):
-        """Do what was decided on the spreading of news."""
+        """Execute actions of dissemination and freshness."""
         match action:
             case dissemination.SendHeartbeat(beat, children):
                 self._send_to(encode_heartbeat(beat), children)
@@ -436,7 +441,7 @@
             case dissemination.SetStoreReader():
                 self._set_store_reader(action)
             case freshness.Confirm(feed, delta):
-                # As if the store had answered that nothing has changed.
+                # Equivalent to a watch that reported no change.
                 self.packets.post(FeedUpdate(feed, delta))
                 self._record_store_answer(feed, delta)
                 self.kernel.post(feed, list_watch.Confirmed(delta.revision))
@@ -475,8 +480,8 @@
             known_ms=self.clock.now_ms()
             - self.dissemination.last_confirmed_ms(),
         )
-        # What the packet path holds, not what is on its way there: a watch
-        # from too late a revision would never tell what lies between.
+        # Use the revisions that the packet path has applied, not those still
+        # queued: a watch that starts too late would miss changes.
         revisions = {
             TARGETS: self.store_cache.directory.revision,
             ROUTES: self.store_cache.routes_revision,
@@ -498,8 +503,8 @@
     def _pull_from_other_domain(self, member):
         now_ms = self.clock.now_ms()
         age_ms = now_ms - self.dissemination.last_confirmed_ms()
-        is_young = not self.store_cache.state.is_complete
-        if is_young or age_ms > REMOTE_PULL_AGE_MS:
+        is_incomplete = not self.store_cache.state.is_complete
+        if is_incomplete or age_ms > REMOTE_PULL_AGE_MS:
             event = dissemination.PeerDiffers(member.name, now_ms)
             self._execute(dissemination.decide(self.dissemination, event))
 
--- a/src/liftmount/_internal/services/metrics_page.py
+++ b/src/liftmount/_internal/services/metrics_page.py
@@ -1,4 +1,4 @@
-"""Serves counters, gauges and histograms as text."""
+"""Serves metrics in the Prometheus text format."""
 
 from liftmount._internal.kernel import Service
 from liftmount._internal.models.addresses import Endpoint
@@ -11,9 +11,10 @@
 
 
 class MetricsPage(Service):
-    """Owns the server of the metrics address.
+    """HTTP server for ``/metrics``.
 
-    ``find_rejected_objects()`` returns the RejectedObjects, None while there is none.
+    ``find_rejected_objects()`` returns the RejectedObjects, or None if no
+    object was rejected so far.
     """
 
     name = 'metrics'
@@ -38,7 +39,7 @@
         self._server = HttpServer(self._answer)
 
     async def start(self):
-        """Bind the server; without it the balancer still serves."""
+        """Bind the server; the balancer runs without it if that fails."""
         try:
             await self._server.start(self._address)
         except OSError as error:
@@ -53,7 +54,7 @@
         return HttpAnswer(HTTP_OK, text.encode(), {})
 
     def _update_gauges(self):
-        """Set the gauges, which are read off the state when asked for."""
+        """Set the gauges from the current state."""
         store_cache = self._path.store_cache
         state = store_cache.state
         dissemination = self._group.dissemination
--- a/src/liftmount/_internal/services/packet_path.py
+++ b/src/liftmount/_internal/services/packet_path.py
@@ -1,8 +1,8 @@
-"""The path of packets: one socket, decided on without waiting.
+"""The packet path: receive, decide and forward on one non-blocking socket.
 
-It needs no event loop, so that packets flow before one is imported.
-Whoever owns it calls ``read`` when the socket has something and ``tick``
-each TICK_MS, and starts the probes that are ``pending_probes``.
+It runs without an event loop, so that packets are forwarded before asyncio
+is imported.  The owner calls ``read`` when the socket is readable and
+``tick`` every TICK_MS, and starts the probes in ``pending_probes``.
 """
 
 from zlib import crc32
@@ -34,7 +34,7 @@
 TICK_MS = 20
 OVERFLOW_CHECK_MS = 200
 MAX_DATAGRAM_BYTES = 2_048
-# Datagrams read at one wake-up before others get a turn.
+# Datagrams per wake-up; bounds the delay of other tasks.
 MAX_BATCH_DATAGRAMS = 64
 SOCKET_BUFFER_BYTES = 4 * 1_048_576
 
@@ -42,10 +42,11 @@
 def bind_packet_socket(
     address: Endpoint, bound: RawSocket | None = None
 ) -> RawSocket:
-    """Return the socket for packets, with room for those that wait.
+    """Return the non-blocking packet socket, with enlarged buffers.
 
-    A socket that is ``bound`` already is taken if it has the right address.
-    Raises OSError if the address can't be bound.
+    ``bound`` is a socket that was bound earlier; it is closed and replaced
+    if its address differs from ``address``.  Raises OSError if the address
+    can't be bound.
     """
     if bound is not None and bound.getsockname() != address.socket_address():
         bound.close()
@@ -60,12 +61,12 @@
 
 
 class PacketPath:
-    """Owns the socket for packets and what is decided on them.
+    """Owns the packet socket and executes the forwarding decisions.
 
     ``codec`` has ``read(datagram)``, ``encode_forward(action)`` and
-    ``encode_reset(action)``; ``options`` are EntrySettings.  ``pending_probes`` has a
-    SendProbe for each target to probe.  ``shutdown`` is a ShutdownState
-    once a planned stop has begun.
+    ``encode_reset(action)``; ``options`` are EntrySettings.  ``pending_probes``
+    holds a SendProbe for each probe that the owner has to start.
+    ``shutdown`` is a ShutdownState once a planned stop has begun.
     """
 
     def __init__(self, clock: Clock, codec, options, log, counters, bound):
@@ -94,12 +95,14 @@
         self._log = log
         self._counters = counters
         self._next_overflow_check_ms = 0
-        # When what is decided on now came, which saves a look at the clock
-        # for each packet.
+        # Time of the current batch or tick; saves a clock read per packet.
         self._now_ms = 0
 
     def get_unready_reason(self) -> str:
-        """Return why no packets should come here; empty when they may."""
+        """Return why this balancer is not ready, or '' if it is.
+
+        Each call during a planned stop counts as one refused check.
+        """
         if self.shutdown is not None:
             self.shutdown.record_refusal()
             return 'stopping'
@@ -114,19 +117,19 @@
         return ''
 
     def set_members(self, members: DomainMembers) -> None:
-        """Take over who is in the own failure domain."""
+        """Set the live members of the own failure domain."""
         self.members = members
         self.state.fleet.balancers = members.fleet
 
     def begin_shutdown(self, until_ms: int) -> None:
         """Begin a planned stop that ends at ``until_ms`` at the latest."""
-        # A start does without.
+        # Not needed at startup, so imported here.
         from liftmount._internal.decisions.shutdown import ShutdownState
 
         self.shutdown = ShutdownState(self.clock.now_ms(), until_ms)
 
     def read(self) -> None:
-        """Decide on the packets that wait, up to a batch of them."""
+        """Process one batch of the packets that are queued in the socket."""
         now_ms = self._now_ms = self.clock.now_ms()
         for _ in range(MAX_BATCH_DATAGRAMS):
             try:
@@ -134,7 +137,7 @@
             except BlockingIOError:
                 return
             except OSError as error:
-                # What an earlier datagram met; the next read goes on.
+                # Pending ICMP error of an earlier send; keep reading.
                 self._counters.count(f'socket_error.{error.errno}')
                 continue
             self.link.received(len(datagram), now_ms)
@@ -149,7 +152,7 @@
             self.execute(forwarding.decide(self.state, event))
 
     def tick(self) -> None:
-        """Let time pass."""
+        """Run the time-based decisions."""
         tick = Tick(self.clock.now_ms())
         self._now_ms = tick.now_ms
         self._check_link(tick.now_ms)
@@ -159,7 +162,7 @@
         self._check_overflow(tick.now_ms)
 
     def _check_link(self, now_ms):
-        """Tell whether the own link filled, or is free again."""
+        """Update whether the own link is busy and log changes."""
         is_busy = self.link.is_busy(now_ms)
         if is_busy != self.state.health.is_link_busy:
             self._update_health(target_health.LinkSeen(is_busy))
@@ -171,7 +174,7 @@
             )
 
     def _check_overflow(self, now_ms):
-        """See whether the domain can carry its clients."""
+        """Check whether the own domain can carry the load of its clients."""
         if now_ms < self._next_overflow_check_ms:
             return
         self._next_overflow_check_ms = now_ms + OVERFLOW_CHECK_MS
@@ -187,13 +190,13 @@
             self._counters.count(f'domain.{name}')
 
     def record_transfer(self, size_bytes: int = 0, lasted_ms: int = 0) -> None:
-        """Note what the own link has carried beside packets."""
+        """Account for traffic on the own link other than packets."""
         self.link.transferred(size_bytes, lasted_ms, self.clock.now_ms())
 
     def handle_probe_result(
         self, sent: target_health.SendProbe, result
     ) -> None:
-        """Judge a target by how a probe of it ended."""
+        """Log the result of a probe and update the target's health."""
         now_ms = self.clock.now_ms()
         if not self._is_conclusive(sent, result, now_ms):
             result = target_health.ProbeResult.UNPROVEN
@@ -210,7 +213,7 @@
         self._update_health(event)
 
     def _is_conclusive(self, sent, result, now_ms):
-        """Tell whether the end of a probe may speak against a target."""
+        """Return whether a probe result may count against a target."""
         match result:
             case target_health.ProbeResult.SILENT:
                 return not self.link.is_busy(sent.sent_ms)
@@ -218,10 +221,10 @@
                 return not may_be_finishing(self.state, sent.target, now_ms)
         return True
 
-    # What is decided.
+    # Actions.
 
     def execute(self, actions) -> None:
-        """Carry out what was decided."""
+        """Execute the actions of a decision."""
         for action in actions:
             match action:
                 case flows.Forward():
@@ -247,7 +250,7 @@
                     self._record_action(action)
 
     def _record_action(self, action):
-        """Count and log what asks for nothing else."""
+        """Count, log or report actions that send nothing."""
         match action:
             case flows.Placed():
                 self._log_placed(action)
@@ -273,7 +276,7 @@
             self.on_stall(action)
 
     def eject(self, name: str, until_ms: int) -> None:
-        """Give a target no new flows until then."""
+        """Place no new flows on a target until ``until_ms``."""
         event = flows.TargetHeldOut(name, until_ms, self.clock.now_ms())
         self.execute(forwarding.decide(self.state, event))
 
@@ -289,6 +292,7 @@
         )
 
     def _queue_probe(self, action):
+        """Queue a probe, or take the target as alive if none is needed."""
         if is_probe_wanted(self.state, action.target):
             self._counters.count('probes')
             self.pending_probes.append(action)
@@ -296,27 +300,27 @@
         self._counters.count('probes_spared')
         self.state.health.forget(action.target)
         now_ms = self.clock.now_ms()
-        alive = flows.TargetDied(action.target, False, now_ms)
-        self.execute(forwarding.decide(self.state, alive))
+        change = flows.TargetDied(action.target, False, now_ms)
+        self.execute(forwarding.decide(self.state, change))
 
     def _report_unknown_target(self):
-        """Have somebody look for a target that a segment waits for."""
+        """Report that a segment waits for a target that is not known."""
         self._counters.count('retried.unknown_tag')
         if self.on_unknown_target is not None:
             self.on_unknown_target()
 
-    def _handle_unresponsive(self, silent):
-        """Probe a target if a flow gives reason to."""
-        self._counters.count(f'silence.{silent.sign.value}')
-        actions = target_health.decide(self.state.health, silent)
+    def _handle_unresponsive(self, unresponsive):
+        """Probe a target that did not answer a flow."""
+        self._counters.count(f'silence.{unresponsive.sign.value}')
+        actions = target_health.decide(self.state.health, unresponsive)
         if actions:
             self._log.write(
                 'targets',
                 'doubted_by_flow',
-                target=silent.target,
-                sign=silent.sign.value,
-                flow=silent.flow.hex(),
-                for_ms=silent.for_ms,
+                target=unresponsive.target,
+                sign=unresponsive.sign.value,
+                flow=unresponsive.flow.hex(),
+                for_ms=unresponsive.for_ms,
             )
         self.execute(actions)
 
@@ -330,13 +334,13 @@
         self._log.write(
             'targets', event, target=action.target, probes=action.probes
         )
-        died = flows.TargetDied(
+        change = flows.TargetDied(
             action.target,
             action.is_dead,
             self.clock.now_ms(),
             action.is_suspected,
         )
-        self.execute(forwarding.decide(self.state, died))
+        self.execute(forwarding.decide(self.state, change))
 
     def _send(self, datagram, destination):
         self.link.sent(len(datagram), self._now_ms)
--- a/src/liftmount/_internal/services/packets.py
+++ b/src/liftmount/_internal/services/packets.py
@@ -1,4 +1,4 @@
-"""The service that drives the path of packets."""
+"""Service that runs the packet path in the event loop."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 
 
 class PacketService(TickingService):
-    """Reads packets, lets time pass, probes targets, takes over news."""
+    """Reads packets, probes targets and applies updates of the store."""
 
     name = 'packets'
     tick_ms = TICK_MS
@@ -28,7 +28,7 @@
         path.on_stall = self._post_stall
 
     async def start(self):
-        """Read packets whenever there are some."""
+        """Read packets whenever the socket is readable."""
         loop = asyncio.get_running_loop()
         loop.add_reader(self.path.socket.fileno(), self._on_readable)
 
@@ -39,7 +39,7 @@
         self.path.socket.close()
 
     def tick(self):
-        """Let time pass."""
+        """Run the time-based decisions and start due probes."""
         self.path.tick()
         self._start_probes()
 
@@ -47,28 +47,28 @@
         self.path.read()
         self._start_probes()
 
-    def handle(self, posted):
-        """Take over what a feed or the group tells."""
+    def handle(self, message):
+        """Apply an update from a feed or the group."""
         now_ms = self.clock.now_ms()
         store_cache = self.path.store_cache
-        match posted:
+        match message:
             case FeedUpdate():
-                self.path.record_transfer(lasted_ms=posted.update.age_ms)
+                self.path.record_transfer(lasted_ms=message.update.age_ms)
                 self.path.execute(
-                    store_cache.apply_feed_update(posted, now_ms)
+                    store_cache.apply_feed_update(message, now_ms)
                 )
             case Snapshot():
-                self.path.execute(store_cache.apply_snapshot(posted, now_ms))
+                self.path.execute(store_cache.apply_snapshot(message, now_ms))
             case DomainMembers():
-                self.path.set_members(posted)
+                self.path.set_members(message)
             case Evacuated():
                 self.path.execute(
-                    store_cache.apply_evacuations(posted, now_ms)
+                    store_cache.apply_evacuations(message, now_ms)
                 )
             case FeedFailed():
                 store_cache.record_store_lost(now_ms)
             case _:
-                super().handle(posted)
+                super().handle(message)
 
     def _post_unknown_target(self):
         if 'group' in self.kernel.services:
@@ -80,18 +80,18 @@
             self.kernel.post('group', stalled)
 
     def _start_probes(self):
-        wanted = self.path.pending_probes
-        while wanted:
-            task = asyncio.create_task(self._probe(wanted.pop()))
+        pending = self.path.pending_probes
+        while pending:
+            task = asyncio.create_task(self._probe(pending.pop()))
             self._probes.add(task)
             task.add_done_callback(self._probes.discard)
 
-    async def _probe(self, wanted):
+    async def _probe(self, sent):
         state = self.path.state
-        entry = state.tags.entries.get(wanted.target)
+        entry = state.tags.entries.get(sent.target)
         if entry is None:
-            state.health.forget(wanted.target)
+            state.health.forget(sent.target)
             return
         path = state.table.health_paths.get(entry.service, '/')
         result = await probe(self.clock, entry, path)
-        self.path.handle_probe_result(wanted, result)
+        self.path.handle_probe_result(sent, result)
--- a/src/liftmount/_internal/services/probes.py
+++ b/src/liftmount/_internal/services/probes.py
@@ -1,4 +1,4 @@
-"""Probes targets over the links that packets take."""
+"""Probes targets over the same links that packets take."""
 
 import asyncio
 
@@ -7,19 +7,19 @@
 from liftmount._internal.exceptions import HttpError
 from liftmount._internal.network.http import HttpConnection
 
-# A target answers in some 10 ms; a slow one accepts the connection anyway.
+# A slow target accepts the connection in this time, which is enough.
 PROBE_TIMEOUT_MS = 100
 WAIT_STEP_MS = 25
-# Turns of the event loop in which an answer that has arrived gets here: on
-# a busy balancer it may have come in the same turn as the end of the wait.
+# Turns of the event loop after the timeout, so that an answer which arrived
+# in the same turn is still processed.
 FINAL_LOOP_TURNS = 5
-# A step that takes this much longer means that this balancer was held up.
+# A longer delay of the event loop makes the probe's silence meaningless.
 MAX_LOOP_DELAY_MS = 75
 INSTANCE_HEADER = 'instance-id'
 
 
 async def probe(clock, target, path: str) -> ProbeResult:
-    """Connect to the health check of a target and judge the answer."""
+    """Request the health check of a target and return the result."""
     connection = HttpConnection(target.endpoint)
     task = asyncio.create_task(_check_health(connection, target, path))
     try:
@@ -54,12 +54,12 @@
 
 
 def _classify_error(error):
-    """Return the result of a probe that ended with an error."""
+    """Return the result of a probe whose request raised ``error``."""
     match error:
         case ConnectionError():
             return ProbeResult.REFUSED
         case TimeoutError():
-            # The request may take longer than a probe waits: this balancer
-            # was held up meanwhile.
+            # The request's timeout exceeds that of the probe, so the event
+            # loop was delayed.
             return ProbeResult.VOID
     return ProbeResult.SILENT
--- a/src/liftmount/_internal/services/pulls.py
+++ b/src/liftmount/_internal/services/pulls.py
@@ -1,4 +1,4 @@
-"""Gets from other balancers what they know."""
+"""Requests member lists and snapshots from other balancers."""
 
 import asyncio
 
@@ -13,14 +13,12 @@
 from liftmount._internal.services.snapshots import LATEST_REVISION
 from liftmount._internal.services.snapshots import SNAPSHOT_PATH
 
-# How soon the answer to a pull has to begin.  A configuration of hundreds of
-# routes is some 10 KB when compressed; on a link of 5 Mbit/s with eight
-# askers the last of them waits for 0.2 s.
+# Time until the first byte of the answer.
 PULL_TIMEOUT_MS = 1_500
 
 
 async def get_from_peer(address: Endpoint, path: str) -> bytes:
-    """Return what a peer answers; raises HttpError without an answer."""
+    """Return the body of a peer's answer; raises HttpError."""
     connection = HttpConnection(address)
     try:
         answer = await connection.request('GET', path, PULL_TIMEOUT_MS)
@@ -30,10 +28,10 @@
 
 
 class SnapshotPuller:
-    """Pulls knowledge; each pull has a task and a connection of its own.
+    """Pulls snapshots; each pull has its own task and connection.
 
-    ``on_end(member, knowledge)`` hears of the end of each; ``snapshot``
-    is None if it can't be had.
+    ``on_end(member, snapshot)`` is called at the end of each pull;
+    ``snapshot`` is None if the pull failed.
     """
 
     def __init__(self, name: str, path: PacketPath, counters, log, on_end):
@@ -45,7 +43,7 @@
         self._tasks = set()
 
     def start(self, member: Member, scope: Scope) -> None:
-        """Begin to get what a member knows."""
+        """Start to pull a snapshot from a member."""
         task = asyncio.create_task(self._pull(member, scope))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -71,7 +69,7 @@
         return None
 
     def _format_revisions(self, scope):
-        """Return what the packet path holds, as a pull says it."""
+        """Return the revisions that the packet path holds, as a query."""
         table = self._path.state.table
         version = table.version if table else 0
         revisions = {
--- a/src/liftmount/_internal/services/readiness.py
+++ b/src/liftmount/_internal/services/readiness.py
@@ -1,4 +1,4 @@
-"""Tells the fabric whether this balancer takes packets."""
+"""Serves the readiness check of the fabric."""
 
 from liftmount._internal.kernel import Service
 from liftmount._internal.models.addresses import Endpoint
@@ -10,11 +10,10 @@
 
 
 class ReadinessService(Service):
-    """Owns the server that is asked for readiness.
+    """HTTP server for the readiness check at ``path``.
 
-    ``bound`` is a socket that is bound to the address already, or None.
-    ``get_reason()`` returns an empty text when the balancer is ready, else
-    the reason.
+    ``bound`` is a socket that already listens at the address, or None.
+    ``get_reason()`` returns why the balancer is not ready, or '' if it is.
     """
 
     name = 'readiness'
--- a/src/liftmount/_internal/services/rejections.py
+++ b/src/liftmount/_internal/services/rejections.py
@@ -1,4 +1,4 @@
-"""What of the store's objects is left out, as it can't be used."""
+"""Objects of the store that were rejected because they are invalid."""
 
 from attrs import define
 from attrs import Factory
@@ -8,16 +8,15 @@
 from liftmount._internal.utils.metrics import PREFIX
 from liftmount._internal.utils.structured import StructuredLog
 
-# Objects that are kept in mind; the oldest is forgotten first, and would be
-# logged again.
+# Rejected objects that are remembered; the oldest is dropped first.
 MAX_OBJECTS = 256
-# Problems of one object that are logged and shown.
+# Problems of one object that are logged and exported.
 MAX_PROBLEMS = 8
 
 
 @frozen
 class _RejectedObject:
-    """The revision at which an object was refused, and its bad fields."""
+    """The rejected revision of an object and its invalid fields."""
 
     revision: int
     fields: tuple[str, ...]
@@ -25,9 +24,9 @@
 
 @define
 class RejectedObjects:
-    """Hears of what feeds can't use; tells it once an object and revision.
+    """Logs and exports objects that feeds rejected.
 
-    A list is read again and again, and so is what another writer left in it.
+    Each revision of an object is logged once, though lists repeat it.
     """
 
     log: StructuredLog
@@ -35,20 +34,21 @@
     objects: dict[str, _RejectedObject] = Factory(dict)
 
     def record(self, key: str, revision: int, problems) -> None:
-        """Note all that is wrong with one state of an object, maybe nothing.
+        """Record the problems of one revision of an object.
 
-        ``problems`` are StoredObjectErrors.
+        ``problems`` are StoredObjectErrors; without any the object is
+        accepted again.
         """
         if not problems:
             if self.objects:
                 self.objects.pop(key, None)
             return
-        known = self.objects.pop(key, None)
+        previous = self.objects.pop(key, None)
         fields = tuple(one.field for one in problems[:MAX_PROBLEMS])
         self.objects[key] = _RejectedObject(revision, fields)
         if len(self.objects) > MAX_OBJECTS:
             del self.objects[next(iter(self.objects))]
-        if known is not None and known.revision == revision:
+        if previous is not None and previous.revision == revision:
             return
         self.metrics.count('refused.invalid_object')
         for problem in problems[:MAX_PROBLEMS]:
@@ -62,7 +62,7 @@
             )
 
     def text(self) -> str:
-        """Return what is left out now, in the text format of Prometheus."""
+        """Return the rejected objects in the Prometheus text format."""
         return ''.join(
             f'{PREFIX}_left_out{{object="{_label(key)}",'
             f'field="{_label(field)}"}} 1\n'
@@ -72,6 +72,6 @@
 
 
 def _label(text):
-    """Return a text as the value of a label: writers may name anything."""
+    """Escape a text as a label value; names in the store are arbitrary."""
     escaped = text.replace('\\', r'\\').replace('"', r'\"')
     return escaped.replace('\n', r'\n')
--- a/src/liftmount/_internal/services/snapshots.py
+++ b/src/liftmount/_internal/services/snapshots.py
@@ -1,4 +1,4 @@
-"""Tells peers what this balancer knows of the store's objects."""
+"""Serves snapshots of the store's objects to other balancers."""
 
 from attrs import define
 from attrs import Factory
@@ -12,17 +12,17 @@
 from liftmount._internal.utils.metrics import Metrics
 
 SNAPSHOT_PATH = '/knowledge/'
-# Who says that it knows this revision is told of no targets.
+# A requester that names this revision receives no targets.
 LATEST_REVISION = 2**63 - 1
-# Children ask for the same when they hear of news.  Encoding 27,000 targets
-# takes 99 ms on a fast core, and no packet is read meanwhile.  Times that
-# are left for what is doubted are told too long by as much.
+# Children request the same snapshot after a change, and no packet is read
+# while one is encoded.  The remaining times of missing entries in a snapshot
+# are too long by up to this time.
 ANSWER_CACHE_MS = 500
 
 
 @define
 class _CachedAnswer:
-    """An answer, and what it was made of."""
+    """An encoded snapshot and the revisions that it was made from."""
 
     revisions: tuple
     made_ms: int
@@ -31,7 +31,7 @@
 
 @define
 class SnapshotServer:
-    """Answers pulls; the last answer is kept for those who ask the same."""
+    """Answers snapshot requests; caches the last answer."""
 
     store_cache: StoreCache
     clock: Clock
@@ -39,10 +39,10 @@
     _cached: dict[str, _CachedAnswer] = Factory(dict)
 
     def answer(self, query: str) -> HttpAnswer:
-        """Tell what somebody does not know yet.
+        """Return a snapshot without the parts that the requester holds.
 
-        ``query`` is the revision of targets and the version of routes that
-        it knows, with a slash between.
+        ``query`` is the requester's revision of the targets and version of
+        the routes, separated by a slash.  Anything else gets status 404.
         """
         revision, _slash, version = query.partition('/')
         if not (revision.isdecimal() and version.isdecimal()):
@@ -57,7 +57,7 @@
             )
             answer = HttpAnswer(HTTP_OK, encode_snapshot(snapshot), {})
             cached = _CachedAnswer(self._held_revisions(), now_ms, answer)
-            # Only what was asked last: answers are large.
+            # Only the last one is kept, because answers are large.
             self._cached = {query: cached}
         return cached.answer
 
--- a/src/liftmount/_internal/services/stall_reporter.py
+++ b/src/liftmount/_internal/services/stall_reporter.py
@@ -1,4 +1,4 @@
-"""Tells members of targets that stall, and hears of them."""
+"""Sends and receives reports of stalled targets."""
 
 from liftmount._internal.decisions import stall_reports
 from liftmount._internal.models.peer_messages import decode_stall_report
@@ -6,10 +6,10 @@
 
 
 class StallReporter:
-    """Carries out what ``decisions/stall_reports.py`` decides.
+    """Executes the decisions of ``decisions/stall_reports.py``.
 
-    ``send(datagram, names)`` sends to members; ``eject(action)`` hears
-    which target gets no new flows.
+    ``send(datagram, names)`` sends to members; ``eject(action)`` is called
+    for each target that is to get no new flows.
     """
 
     def __init__(self, name, send, eject, log, counters):
@@ -20,11 +20,11 @@
         self._counters = counters
 
     def set_peers(self, names: tuple[str, ...]) -> None:
-        """Take over who else is there."""
+        """Set the names of the live members."""
         self._state.peers = names
 
     def receive(self, datagram: bytes, now_ms: int) -> None:
-        """Take over what a member tells; raises PacketError."""
+        """Process a report from a member; raises PacketError."""
         self._counters.count('doubts_heard')
         event = stall_reports.StallReportReceived(
             decode_stall_report(datagram), now_ms
@@ -32,7 +32,7 @@
         self.decide(event)
 
     def decide(self, event) -> None:
-        """Decide on a stall, on what a member told, or on time passed."""
+        """Process a stall, a received report or a tick."""
         for action in stall_reports.decide(self._state, event):
             match action:
                 case stall_reports.SendStallReport(doubt, peers):
--- a/src/liftmount/_internal/services/startup.py
+++ b/src/liftmount/_internal/services/startup.py
@@ -1,7 +1,7 @@
-"""A balancer before its event loop is there.
+"""Startup of a balancer before its event loop runs.
 
-Imports take most of a start on a small instance.  So the path of packets
-starts first, and packets are served between the imports of the rest.
+Imports take most of the startup time on a small instance.  So the packet
+path starts first, and packets are forwarded between the remaining imports.
 """
 
 import select
@@ -25,20 +25,19 @@
 from liftmount._internal.utils.raw_sockets import SOL_SOCKET
 from liftmount._internal.utils.structured import StructuredLog
 
-# Connections that may wait until readiness is answered.
 LISTEN_BACKLOG = 16
 
 
 @define
 class StartupContext:
-    """What a balancer has from its first moment on.
-
-    ``readiness`` is the bound socket of the server that is asked for
-    readiness, None if its address is not free.  ``listings`` tells by feed which
-    list was read, without its items, ``pending_lists`` holds the first lists that are
-    still under way.  ``stop_signals`` has an entry if the process was told to stop
-    before its event loop ran.  ``rejected_objects`` is a RejectedObjects as soon as something
-    in the store can't be used.
+    """State of a balancer that exists before its event loop runs.
+
+    ``readiness`` is the listening socket of the readiness server, or None if
+    its address could not be bound.  ``listings`` holds the lists that were
+    received, by feed and without their items; ``pending_lists`` holds those
+    still in transfer.  ``stop_signals`` is not empty if the process received
+    a signal to stop.  ``rejected_objects`` is a RejectedObjects once an
+    object of the store was rejected.
     """
 
     settings: EntrySettings
@@ -53,11 +52,11 @@
     rejected_objects: object = None
 
     def record_problems(self, key: str, revision: int, problems) -> None:
-        """Note all that is wrong with an object of the store."""
+        """Record the problems of a stored object; no problems clear it."""
         if self.rejected_objects is None:
             if not problems:
                 return
-            # A start does without, unless there is something to refuse.
+            # Imported only if needed, to keep the startup short.
             from liftmount._internal.services.rejections import RejectedObjects
 
             self.rejected_objects = RejectedObjects(self.log, self.metrics)
@@ -67,11 +66,11 @@
 def create_startup_context(
     settings: EntrySettings, codec, bound: RawSocket | None = None
 ) -> StartupContext:
-    """Bind the sockets that others send to.
+    """Bind the packet and readiness sockets and return the initial state.
 
     ``codec`` reads and writes packets, see PacketPath.  ``bound`` is the
-    socket for packets, if there is one already.  Raises OSError if the
-    address for packets can't be bound.
+    packet socket if it was bound earlier.  Raises OSError if the address
+    for packets can't be bound.
     """
     clock = Clock()
     log = StructuredLog(clock)
@@ -84,7 +83,11 @@
 
 
 def _bind_readiness(address, log):
-    """Let those who ask wait for an answer, who would take a reset for no."""
+    """Return the listening readiness socket, or None if it can't be bound.
+
+    Listening this early makes readiness checks wait for an answer, where a
+    refused connection would count as not ready.
+    """
     bound = make_socket(SOCK_STREAM)
     bound.setsockopt(SOL_SOCKET, SO_REUSEADDR, 1)
     try:
@@ -98,11 +101,12 @@
 
 
 class StartupLoop:
-    """Serves packets in turns, as soon as the first lists are there.
+    """Polls the initial lists and forwards packets, without blocking.
 
-    ``lists`` are lists that the store was asked for, by feed; each has
-    ``socket``, ``is_request_sent`` and ``advance()``, which returns a Listing
-    once it is there and raises PlatformError.
+    Forwarding begins once all lists were applied.  ``lists`` holds the
+    requested lists by feed; each has ``socket``, ``is_request_sent`` and
+    ``advance()``, which returns the Listing once it is complete, else None,
+    and raises PlatformError.
     """
 
     def __init__(self, startup: StartupContext, lists: dict):
@@ -110,11 +114,11 @@
         self._lists = dict(lists)
         self._poll = select.poll()
         self._last_tick_ms = 0
-        for one in lists.values():
-            self._poll.register(one.socket, select.POLLOUT)
+        for pending in lists.values():
+            self._poll.register(pending.socket, select.POLLOUT)
 
     def run_once(self) -> None:
-        """Do what can be done without waiting."""
+        """Process what is ready, without blocking."""
         path = self._startup.path
         if self._lists:
             self._advance_lists()
@@ -126,43 +130,45 @@
             path.tick()
 
     def release_pending_lists(self) -> None:
-        """Leave the lists that are not there yet to the event loop.
+        """Pass the incomplete lists to the feeds of the event loop.
 
-        What has arrived of them is kept, as a transfer takes long on a slow
-        link.
+        Bytes that were received are kept: on a slow link a new transfer
+        would take long.
         """
         self._startup.pending_lists.update(self._lists)
         self._lists.clear()
 
     def _advance_lists(self):
         ready = {descriptor for descriptor, _events in self._poll.poll(0)}
-        for feed, one in list(self._lists.items()):
-            if one.socket.fileno() in ready:
-                self._advance(feed, one)
+        for feed, pending in list(self._lists.items()):
+            if pending.socket.fileno() in ready:
+                self._advance(feed, pending)
 
-    def _advance(self, feed, one):
+    def _advance(self, feed, pending):
         startup = self._startup
         try:
-            listing = one.advance()
+            listing = pending.advance()
         except Exception as error:
-            # The feed asks again, once it runs; whatever the store sent
-            # must not end the start.
+            # Whatever the store sent must not end the process; the feed
+            # lists again once it runs.
             startup.log.write(feed, 'first_list_failed', cause=repr(error))
-            self._remove_list(feed, one)
+            self._remove_list(feed, pending)
             return
         if listing is None:
-            events = select.POLLIN if one.is_request_sent else select.POLLOUT
-            self._poll.modify(one.socket, events)
+            events = (
+                select.POLLIN if pending.is_request_sent else select.POLLOUT
+            )
+            self._poll.modify(pending.socket, events)
             return
-        self._remove_list(feed, one)
+        self._remove_list(feed, pending)
         startup.listings[feed] = changed(listing, items=())
-        news = FeedUpdate(feed, listing)
+        answer = FeedUpdate(feed, listing)
         now_ms = startup.clock.now_ms()
         startup.path.execute(
-            startup.path.store_cache.apply_feed_update(news, now_ms)
+            startup.path.store_cache.apply_feed_update(answer, now_ms)
         )
 
-    def _remove_list(self, feed, one):
+    def _remove_list(self, feed, pending):
         del self._lists[feed]
-        self._poll.unregister(one.socket)
-        one.socket.close()
+        self._poll.unregister(pending.socket)
+        pending.socket.close()
--- a/src/liftmount/_internal/services/store_cache.py
+++ b/src/liftmount/_internal/services/store_cache.py
@@ -1,7 +1,7 @@
-"""What a balancer believes of routes, targets and evacuations.
+"""Local copy of the routes, targets and evacuations in the store.
 
-News comes from feeds of the store and from other balancers.  Each method
-returns the actions that forwarding decided on because of the news.
+Updates come from the feeds of the store and from other balancers.  Methods
+that apply an update return the resulting actions of forwarding.
 """
 
 from attrs import define
@@ -28,10 +28,10 @@
 
 @define
 class StoreCache:
-    """Entries of targets and the configuration, as forwarding uses them.
+    """Target entries, routes and evacuations that forwarding uses.
 
-    ``routes_revision`` is the store's revision as of which the routes are
-    known.
+    ``routes_revision`` is the store's revision up to which the routes are
+    current.
     """
 
     state: ForwardingState
@@ -40,81 +40,85 @@
     evacuations: EvacuationState = Factory(EvacuationState)
     routes_revision: int = 0
 
-    def apply_feed_update(self, posted: FeedUpdate, now_ms: int) -> list:
-        """Take over what the store answered."""
-        news = posted.update
-        is_listing = isinstance(news, Listing)
-        items = news.items if is_listing else news.written
-        if posted.feed == ROUTES:
-            self.routes_revision = max(self.routes_revision, news.revision)
+    def apply_feed_update(self, answer: FeedUpdate, now_ms: int) -> list:
+        """Apply a list or a delta that a feed received."""
+        update = answer.update
+        is_listing = isinstance(update, Listing)
+        items = update.items if is_listing else update.written
+        if answer.feed == ROUTES:
+            self.routes_revision = max(self.routes_revision, update.revision)
             return self._apply_tables(items, now_ms)
-        if posted.feed == EVACUATIONS:
-            return self.apply_evacuations(news, now_ms)
-        if not (is_listing and news.may_lag):
+        if answer.feed == EVACUATIONS:
+            return self.apply_evacuations(update, now_ms)
+        if not (is_listing and update.may_lag):
             self.state.are_targets_proven = True
         if is_listing:
-            event = directory.TargetsListed(items, news.revision, now_ms)
+            event = directory.TargetsListed(items, update.revision, now_ms)
         else:
             event = directory.TargetsChanged(
-                items, news.removed, news.revision, now_ms
+                items, update.removed, update.revision, now_ms
             )
         return self._apply_and_settle(
             directory.decide(self.directory, event), now_ms
         )
 
-    def apply_snapshot(self, known: Snapshot, now_ms: int) -> list:
-        """Take over all that a peer knows."""
-        # First, so that nothing is placed where nothing may go.
+    def apply_snapshot(self, snapshot: Snapshot, now_ms: int) -> list:
+        """Apply a snapshot from a peer."""
+        # Evacuations come first: the following steps may place flows.
         actions = []
-        if known.evacuated is not None:
-            actions += self.apply_evacuations(known.evacuated, now_ms)
-        for one in known.retired:
-            until_ms = now_ms + one.left_ms
-            event = flows.FormerTarget(one.entry, until_ms)
+        if snapshot.evacuated is not None:
+            actions += self.apply_evacuations(snapshot.evacuated, now_ms)
+        for expiring in snapshot.retired:
+            until_ms = now_ms + expiring.left_ms
+            event = flows.FormerTarget(expiring.entry, until_ms)
             actions += forwarding.decide(self.state, event)
-        if known.targets or known.missing:
+        if snapshot.targets or snapshot.missing:
             self.state.are_targets_proven = True
             event = directory.TargetsListed(
-                known.targets, known.targets_revision, now_ms, known.missing
+                snapshot.targets,
+                snapshot.targets_revision,
+                now_ms,
+                snapshot.missing,
             )
-            found = directory.decide(self.directory, event)
-            actions += self._apply_and_settle(found, now_ms)
-        if known.table is not None:
+            changes = directory.decide(self.directory, event)
+            actions += self._apply_and_settle(changes, now_ms)
+        if snapshot.table is not None:
             self.routes_revision = max(
-                self.routes_revision, known.routes_revision
+                self.routes_revision, snapshot.routes_revision
             )
-            actions += self._apply_tables([known.table], now_ms)
+            actions += self._apply_tables([snapshot.table], now_ms)
         return actions
 
     def apply_evacuations(
-        self, news: Listing | Delta | Evacuated, now_ms: int
+        self, update: Listing | Delta | Evacuated, now_ms: int
     ) -> list:
-        """Take over which failure domains are evacuated."""
+        """Apply a change of the evacuated failure domains."""
         actions = []
-        for found in evacuations.decide(self.evacuations, news):
-            for domain in sorted(found.evacuated):
+        for change in evacuations.decide(self.evacuations, update):
+            for domain in sorted(change.evacuated):
                 self._log_domain('evacuated', domain)
-            for domain in sorted(found.returned):
+            for domain in sorted(change.returned):
                 self._log_domain('returned', domain)
-            event = flows.DomainsEvacuated(found.domains, now_ms)
+            event = flows.DomainsEvacuated(change.domains, now_ms)
             actions += forwarding.decide(self.state, event)
         return actions
 
     def record_store_lost(self, now_ms: int) -> None:
-        """Note that the store gave no answer."""
+        """Record that a call to the store failed."""
         directory.decide(self.directory, directory.StoreLost(now_ms))
 
     def expire_entries(self, tick: Tick) -> list:
-        """Let doubts about targets expire."""
-        found = directory.decide(self.directory, tick)
-        return self._apply_entries(found, tick.now_ms)
+        """Remove entries that have been missing for too long."""
+        changes = directory.decide(self.directory, tick)
+        return self._apply_entries(changes, tick.now_ms)
 
     def snapshot(
         self, now_ms: int, revision: int = 0, version: int = 0
     ) -> Snapshot:
-        """Return what somebody does not know yet.
+        """Return a snapshot without the parts that the receiver holds.
 
-        It knows targets up to ``revision`` and routes of ``version``.
+        The receiver holds targets up to ``revision`` and routes up to
+        ``version``.
         """
         table = self.state.table
         if table is not None and table.version <= version:
@@ -134,8 +138,8 @@
             evacuated=evacuated,
         )
 
-    def _apply_and_settle(self, found, now_ms):
-        actions = self._apply_entries(found, now_ms)
+    def _apply_and_settle(self, changes, now_ms):
+        actions = self._apply_entries(changes, now_ms)
         event = flows.TargetsSettled(now_ms)
         return actions + forwarding.decide(self.state, event)
 
@@ -163,9 +167,9 @@
             )
         return actions
 
-    def _apply_entries(self, found, now_ms):
+    def _apply_entries(self, changes, now_ms):
         actions = []
-        for action in found:
+        for action in changes:
             match action:
                 case directory.EntryUpdated(entry):
                     event = flows.TargetPut(entry, now_ms)
