--- a/benches/ablation.py
+++ b/benches/ablation.py
@@ -43,7 +43,7 @@
     _constant(
         'copies of openings',
         'decisions/forwarding.py',
-        'FIRST_ANSWER_MS',
+        'OPENING_TIMEOUT_MS',
         '70',
         '60_000',
     ),
@@ -75,7 +75,7 @@
     Mechanism(
         'hand-over of a cut domain',
         'decisions/overflow.py',
-        '    return _check_short(state, event)\n',
+        '    return _check_overload(state, event)\n',
         '    return []\n',
     ),
     _constant(
@@ -86,7 +86,7 @@
         '0.0',
     ),
     _constant('warm-up', 'decisions/pool.py', 'WARMING_SHARE', '0.6', '1.0'),
-    _constant('lean', 'decisions/pool.py', 'LEAN_SHARE', '0.15', '0.0'),
+    _constant('lean', 'decisions/pool.py', 'MAX_BIAS_SLOTS', '0.15', '0.0'),
     _constant(
         'load of open flows',
         'decisions/pool.py',
@@ -103,7 +103,7 @@
     _constant(
         'holding of unknown tags',
         'decisions/forwarding.py',
-        'HELD_MS',
+        'PENDING_TIMEOUT_MS',
         '400',
         '0',
     ),
--- a/benches/cold.py
+++ b/benches/cold.py
@@ -16,12 +16,12 @@
 from attrs import Factory
 from attrs import frozen
 
-from liftmount._internal.decisions.cold_targets import ColdBudget
-from liftmount._internal.decisions.cold_targets import Fleet
-from liftmount._internal.decisions.cold_targets import MS_PER_S
-from liftmount._internal.decisions.cold_targets import RATE_SHARE
 from liftmount._internal.decisions.pool import Pool
 from liftmount._internal.decisions.pool import TargetInfo
+from liftmount._internal.decisions.slow_start import Fleet
+from liftmount._internal.decisions.slow_start import MS_PER_S
+from liftmount._internal.decisions.slow_start import RATE_SHARE
+from liftmount._internal.decisions.slow_start import SlowStartBudget
 from liftmount._internal.models.segments import WarmUp
 
 DOMAINS = ('a', 'b', 'c')
@@ -40,7 +40,7 @@
 OTHERS_SHARE = 0.4
 
 
-class OwnerBudget(ColdBudget):
+class OwnerBudget(SlowStartBudget):
     """One member of a target's domain sends half of the rate, others none.
 
     The owner is found by rendezvous among the members that are known.
@@ -76,14 +76,14 @@
         """Tell whether a cold target may get a flow now."""
         if self.owns(target):
             return super().may_take(target, now_ms)
-        return ColdBudget.may_take(self, target, now_ms)
+        return SlowStartBudget.may_take(self, target, now_ms)
 
     def spend(self, target, now_ms):
         """Note a flow that was sent to a cold target."""
         if self.owns(target):
             super().spend(target, now_ms)
         else:
-            ColdBudget.spend(self, target, now_ms)
+            SlowStartBudget.spend(self, target, now_ms)
 
     def _gap_ms(self):
         return super()._gap_ms() * RATE_SHARE / OTHERS_SHARE
@@ -163,7 +163,7 @@
         case 'both':
             return BothBudget(warm_up, fleet, domain, members)
         case 'share':
-            return ColdBudget(warm_up, fleet)
+            return SlowStartBudget(warm_up, fleet)
     return None
 
 
--- a/benches/entry.py
+++ b/benches/entry.py
@@ -102,7 +102,7 @@
         """Have each target doubted once, and answer."""
         health = self.state.health
         for name in self.state.tags.entries:
-            silent = target_health.TargetSilent(name, self.now_ms)
+            silent = target_health.TargetUnresponsive(name, self.now_ms)
             target_health.decide(health, silent)
             answered = target_health.ProbeResult.ANSWERED
             ended = target_health.ProbeEnded(
--- a/src/liftmount/_internal/decisions/flow_evidence.py
+++ b/src/liftmount/_internal/decisions/flow_evidence.py
@@ -7,9 +7,9 @@
 from liftmount._internal.decisions.flow_table import Flow
 from liftmount._internal.decisions.flow_table import ForwardingState
 from liftmount._internal.decisions.flow_table import note_work
-from liftmount._internal.decisions.target_health import Sign
-from liftmount._internal.decisions.target_health import TargetSeen
-from liftmount._internal.decisions.target_health import TargetSilent
+from liftmount._internal.decisions.target_health import EvidenceKind
+from liftmount._internal.decisions.target_health import TargetResponsive
+from liftmount._internal.decisions.target_health import TargetUnresponsive
 from liftmount._internal.models.segments import Segment
 
 # Clients send data again after 200 ms.  What comes sooner was overtaken by
@@ -25,30 +25,36 @@
 ) -> list:
     """Gather evidence on a flow's target from one segment.
 
-    Returns a TargetSeen, a TargetSilent, or nothing.
+    Returns a TargetResponsive, a TargetUnresponsive, or nothing.
     """
     if segment.acknowledgement != flow.acknowledged:
         flow.acknowledged = segment.acknowledgement
         _note_answer(state, flow, now_ms)
-        _note_far(state, flow, now_ms)
+        _note_remote_progress(state, flow, now_ms)
         # An answer is on its way, or another request began.
-        _note_request(state, segment, flow, _is_new(segment, flow), now_ms)
-        return [TargetSeen(flow.target, now_ms)]
+        _note_request(
+            state, segment, flow, _note_new_data(segment, flow), now_ms
+        )
+        return [TargetResponsive(flow.target, now_ms)]
     if not segment.length_bytes:
         return []
-    if _is_new(segment, flow):
+    if _note_new_data(segment, flow):
         _note_request(state, segment, flow, True, now_ms)
         return []
     for_ms = now_ms - flow.working_ms
     if for_ms < RESEND_MS:
         return []
-    return [TargetSilent(flow.target, now_ms, Sign.DATA, flow.key, for_ms)]
+    return [
+        TargetUnresponsive(
+            flow.target, now_ms, EvidenceKind.DATA, flow.key, for_ms
+        )
+    ]
 
 
-def _note_far(state, flow, now_ms):
+def _note_remote_progress(state, flow, now_ms):
     entry = state.tags.entries.get(flow.target)
     if entry is not None and entry.failure_domain != state.failure_domain:
-        state.far_seen_ms = now_ms
+        state.remote_progress_ms = now_ms
 
 
 def _note_request(state, segment, flow, is_working, now_ms):
@@ -71,7 +77,7 @@
         state.stalls.answered(entry.service, now_ms - flow.working_ms)
 
 
-def _is_new(segment, flow):
+def _note_new_data(segment, flow):
     """Tell whether a segment holds data for the first time; note it."""
     if not segment.length_bytes:
         return False
--- a/src/liftmount/_internal/decisions/flow_table.py
+++ b/src/liftmount/_internal/decisions/flow_table.py
@@ -11,12 +11,12 @@
 from attrs import Factory
 from attrs import frozen
 
-from liftmount._internal.decisions.cold_targets import ColdBudget
-from liftmount._internal.decisions.cold_targets import Fleet
 from liftmount._internal.decisions.flow_tags import TagTable
 from liftmount._internal.decisions.overflow import DomainLoad
 from liftmount._internal.decisions.pool import Pool
 from liftmount._internal.decisions.pool import TargetLoad
+from liftmount._internal.decisions.slow_start import Fleet
+from liftmount._internal.decisions.slow_start import SlowStartBudget
 from liftmount._internal.decisions.stalls import StallWatch
 from liftmount._internal.decisions.target_health import TargetHealth
 from liftmount._internal.models.addresses import Endpoint
@@ -30,7 +30,7 @@
 REMOTE_PENALTY = 0.5
 # How long a target that left without a word may go on serving: some drain
 # for many seconds.
-FINISH_MS = 10_000
+DRAIN_GRACE_MS = 10_000
 # How fast the busy share of a target fades: some ten requests long.
 BUSY_FADE_MS = 1_500
 
@@ -77,25 +77,25 @@
 class SlotCounts:
     """Slots of a service in the own domain and in others.
 
-    Those of dead targets count only in ``far``.
+    Those of dead targets count only in ``remote``.
     """
 
-    near: int
-    far: int
-    far_alive: int
+    local: int
+    remote: int
+    remote_alive: int
 
 
 @define
 class ForwardingState:
     """Routes, targets, pools by service, flows, and evidence.
 
-    ``former`` holds when a target that is gone may be forgotten; ``seed``
-    makes the choices of balancers differ.  ``far_seen_ms`` is when a flow
+    ``retired`` holds when a target that is gone may be forgotten; ``seed``
+    makes the choices of balancers differ.  ``remote_progress_ms`` is when a flow
     to a target of another failure domain last showed progress.  ``slots``
     keeps the counts of services whose targets have not changed since.
     ``evacuated`` names the failure domains whose targets get no new flows;
     until it is known which ones are (None), new flows wait.  ``regions``
-    maps failure domains to theirs; ``are_targets_proven`` tells whether
+    maps failure domains to theirs; ``are_targets_confirmed`` tells whether
     more than a list that may lag told of targets; ``fleet`` tells among how
     many cold targets are shared.  ``is_watching_stalls`` tells whether
     requests without an answer speak against targets.
@@ -106,21 +106,21 @@
     seed: int = 1
     table: RouteTable | None = None
     has_targets: bool = False
-    are_targets_proven: bool = False
+    are_targets_confirmed: bool = False
     evacuated: frozenset[str] | None = frozenset()
     regions: dict[str, str] = Factory(dict)
     fleet: Fleet = Factory(Fleet)
     tags: TagTable = Factory(TagTable)
     pools: dict[str, Pool] = Factory(dict)
     slots: dict[str, SlotCounts] = Factory(dict)
-    former: dict[str, int] = Factory(dict)
+    retired: dict[str, int] = Factory(dict)
     health: TargetHealth = Factory(TargetHealth)
     stalls: StallWatch = Factory(StallWatch)
     is_watching_stalls: bool = False
     flows: dict[bytes, Flow] = Factory(dict)
     opening: deque = Factory(deque)
-    held: deque = Factory(deque)
-    far_seen_ms: int = 0
+    pending: deque = Factory(deque)
+    remote_progress_ms: int = 0
     next_sweep_ms: int = 0
     ticked_ms: int = 0
     turn: int = 0
@@ -160,7 +160,7 @@
         if warm_up is None:
             pool.cold = None
         elif pool.cold is None:
-            pool.cold = ColdBudget(warm_up, self.fleet)
+            pool.cold = SlowStartBudget(warm_up, self.fleet)
         else:
             pool.cold.warm_up = warm_up
 
@@ -179,13 +179,13 @@
     """Note that a flow is at another target now."""
     was_working = flow.is_working
     note_work(state, flow, False, now_ms)
-    _count(state, flow.target, -1)
+    _count_flow(state, flow.target, -1)
     flow.target = target
-    _count(state, target, 1)
+    _count_flow(state, target, 1)
     note_work(state, flow, was_working, now_ms)
 
 
-def _count(state, target, step):
+def _count_flow(state, target, step):
     load = load_of(state, target)
     if load is not None:
         load.open_streams = max(0, load.open_streams + step)
@@ -218,13 +218,13 @@
     entry = state.tags.entries.get(target)
     if entry is None:
         return False
-    if not state.are_targets_proven:
+    if not state.are_targets_confirmed:
         return True
-    forgotten_ms = state.former.get(target)
+    forgotten_ms = state.retired.get(target)
     if forgotten_ms is None:
         return entry.draining
     gone_ms = forgotten_ms - state.flow_max_age_ms
-    return not entry.draining and now_ms - gone_ms < FINISH_MS
+    return not entry.draining and now_ms - gone_ms < DRAIN_GRACE_MS
 
 
 def is_probe_wanted(state: ForwardingState, target: str) -> bool:
@@ -266,7 +266,7 @@
     """Note that a flow is at its end; its last segments may follow."""
     if flow.phase is not Phase.CLOSED:
         note_work(state, flow, False, now_ms)
-        _count(state, flow.target, -1)
+        _count_flow(state, flow.target, -1)
         flow.phase = Phase.CLOSED
 
 
@@ -276,11 +276,11 @@
     state.flows.pop(flow.key, None)
 
 
-def former_targets(state: ForwardingState, now_ms: int) -> tuple:
+def retired_targets(state: ForwardingState, now_ms: int) -> tuple:
     """Return an Expiring for each target that is gone, but not forgotten."""
     return tuple(
         Expiring(state.tags.entries[name], max(0, until_ms - now_ms))
-        for name, until_ms in state.former.items()
+        for name, until_ms in state.retired.items()
     )
 
 
@@ -303,18 +303,18 @@
         counts = _count_slots(state, pool)
         state.slots[pool.key] = counts
     demand = pool.demand(now_ms) * members
-    return DomainLoad(demand, counts.near, counts.far, counts.far_alive)
+    return DomainLoad(demand, counts.local, counts.remote, counts.remote_alive)
 
 
 def _count_slots(state, pool):
-    near = far = far_alive = 0
-    for one in pool.targets.values():
-        if not pool.may_take(one):
+    local = remote = remote_alive = 0
+    for target in pool.targets.values():
+        if not pool.may_take(target):
             continue
-        is_dead = state.health.is_dead(one.name)
-        if one.failure_domain == state.failure_domain:
-            near += 0 if is_dead else one.slots
+        is_dead = state.health.is_dead(target.name)
+        if target.failure_domain == state.failure_domain:
+            local += 0 if is_dead else target.slots
         else:
-            far += one.slots
-            far_alive += 0 if is_dead else one.slots
-    return SlotCounts(near, far, far_alive)
+            remote += target.slots
+            remote_alive += 0 if is_dead else target.slots
+    return SlotCounts(local, remote, remote_alive)
--- a/src/liftmount/_internal/decisions/forwarding.py
+++ b/src/liftmount/_internal/decisions/forwarding.py
@@ -19,21 +19,21 @@
 from liftmount._internal.decisions.flow_table import Phase
 from liftmount._internal.decisions.pool import flow_cost
 from liftmount._internal.decisions.pool import TargetInfo
-from liftmount._internal.decisions.target_health import Sign
-from liftmount._internal.decisions.target_health import TargetSeen
-from liftmount._internal.decisions.target_health import TargetSilent
+from liftmount._internal.decisions.target_health import EvidenceKind
+from liftmount._internal.decisions.target_health import TargetResponsive
+from liftmount._internal.decisions.target_health import TargetUnresponsive
 from liftmount._internal.models.flow_messages import Answered
 from liftmount._internal.models.flow_messages import DomainsEvacuated
 from liftmount._internal.models.flow_messages import Drop
-from liftmount._internal.models.flow_messages import FormerTarget
 from liftmount._internal.models.flow_messages import Forward
 from liftmount._internal.models.flow_messages import Placed
 from liftmount._internal.models.flow_messages import RefusalReason
 from liftmount._internal.models.flow_messages import Refuse
+from liftmount._internal.models.flow_messages import RetiredTarget
 from liftmount._internal.models.flow_messages import RoutesChanged
 from liftmount._internal.models.flow_messages import SegmentArrived
-from liftmount._internal.models.flow_messages import TargetDied
-from liftmount._internal.models.flow_messages import TargetHeldOut
+from liftmount._internal.models.flow_messages import TargetEjected
+from liftmount._internal.models.flow_messages import TargetHealthChanged
 from liftmount._internal.models.flow_messages import TargetPut
 from liftmount._internal.models.flow_messages import TargetRemoved
 from liftmount._internal.models.flow_messages import TargetRestarted
@@ -45,75 +45,75 @@
 from liftmount._internal.models.segments import Segment
 
 # A request that shows no progress for this long counts no more.
-WORK_MS = 2_000
+STALE_REQUEST_MS = 2_000
 # An opening that nothing followed for this long is sent to another target
 # too.  The way to a target and back over the client takes 3 to 12 ms on
 # the links in use; a balancer with a quarter of a core adds some tens.
-FIRST_ANSWER_MS = 70
+OPENING_TIMEOUT_MS = 70
 # A target that left an opening unanswered gets no new flows meanwhile.
 AVOID_MS = 1_000
 # Targets tried for one opening: each costs as much as an answer's place.
-MAX_TRIED = 4
+MAX_TRIED_TARGETS = 4
 # Segments kept that arrived before their target or route was known, and
 # for how long: a client sends again after 200 ms.
-MAX_HELD = 512
-HELD_MS = 400
+MAX_PENDING = 512
+PENDING_TIMEOUT_MS = 400
 # A flow whose client closed or reset it is kept for its last segments.
-CLOSED_MS = 2_000
-SWEEP_MS = 1_000
+CLOSED_RETENTION_MS = 2_000
+SWEEP_INTERVAL_MS = 1_000
 # Ticks come every 20 ms; a longer gap means that this balancer stood still
 # or was held up, and that the silence it missed says nothing.
-GAP_MS = 120
+MAX_TICK_GAP_MS = 120
 
 
 def decide(state: ForwardingState, event) -> list:
     """Return the actions for an event.
 
-    Evidence on targets comes back as TargetSilent and TargetSeen, for the
+    Evidence on targets comes back as TargetUnresponsive and TargetResponsive, for the
     module that judges it.
     """
     match event:
         case SegmentArrived():
-            return _segment(state, event.segment, event.now_ms)
+            return _handle_segment(state, event.segment, event.now_ms)
         case Tick():
             return _tick(state, event.now_ms)
         case TargetPut():
-            return _put(state, event)
+            return _put_target(state, event)
         case TargetRemoved():
-            return _remove(state, event)
-        case FormerTarget():
-            return _add_former(state, event)
+            return _retire_target(state, event)
+        case RetiredTarget():
+            return _add_retired(state, event)
         case TargetsSettled():
             state.has_targets = bool(state.tags.entries)
-            return _release(state, event.now_ms)
-        case TargetDied():
-            return _died(state, event)
-        case TargetHeldOut():
-            return _hold_out(state, event)
+            return _retry_pending(state, event.now_ms)
+        case TargetHealthChanged():
+            return _update_health(state, event)
+        case TargetEjected():
+            return _eject(state, event)
         case RoutesChanged():
-            return _routes(state, event)
+            return _update_routes(state, event)
         case DomainsEvacuated():
             return _evacuate(state, event)
     raise TypeError(f'unknown event {event!r}')
 
 
-def _segment(state, segment, now_ms):
+def _handle_segment(state, segment, now_ms):
     if state.table is None:
-        return _hold(state, segment, now_ms)
+        return _enqueue(state, segment, now_ms)
     route = state.table.routes.get(segment.address)
     flow = state.flows.get(segment.flow)
     if route is None:
-        return _without_route(state, segment, flow, now_ms)
+        return _refuse_unrouted(state, segment, flow, now_ms)
     if segment.opens:
         if state.evacuated is None:
-            return _hold(state, segment, now_ms)
-        return _open(state, segment, route, flow, now_ms)
+            return _enqueue(state, segment, now_ms)
+        return _handle_opening(state, segment, route, flow, now_ms)
     if flow is None:
-        return _unseen(state, segment, route, now_ms)
-    return _follow(state, segment, flow, now_ms)
+        return _adopt_flow(state, segment, route, now_ms)
+    return _forward_on_flow(state, segment, flow, now_ms)
 
 
-def _without_route(state, segment, flow, now_ms):
+def _refuse_unrouted(state, segment, flow, now_ms):
     if flow is not None:
         end_flow(state, flow, now_ms)
     if segment.resets:
@@ -121,10 +121,10 @@
     reason = RefusalReason.NO_ROUTE
     if not segment.opens:
         reason = RefusalReason.ROUTE_DROPPED
-    return [_refuse(segment, reason)]
+    return [_make_refuse(segment, reason)]
 
 
-def _refuse(segment, reason, target=''):
+def _make_refuse(segment, reason, target=''):
     return Refuse(
         flow=segment.flow,
         client=segment.client,
@@ -135,7 +135,7 @@
     )
 
 
-def _drop(segment, reason):
+def _make_drop(segment, reason):
     return Drop(
         segment.flow, segment.client, segment.address, segment.tag, reason
     )
@@ -159,33 +159,33 @@
 # Openings.
 
 
-def _open(state, segment, route, flow, now_ms):
+def _handle_opening(state, segment, route, flow, now_ms):
     if flow is not None and flow.phase is Phase.OPEN:
         entry = state.tags.entries.get(flow.target)
         # A late copy: only the target that holds the flow may answer it.
         return [Forward(segment, entry, flow.tag)] if entry else []
     is_opening = flow is not None and flow.phase is Phase.OPENING
-    if is_opening and now_ms - flow.tried_ms < FIRST_ANSWER_MS:
+    if is_opening and now_ms - flow.tried_ms < OPENING_TIMEOUT_MS:
         # Its answer may be under way; copies come together after a stall.
         return []
     if not is_opening:
         flow = _add_flow(state, segment, route, Phase.OPENING, now_ms)
         flow.opening = segment
     flow.seen_ms = now_ms
-    return _place(state, segment, flow, now_ms)
+    return _place_flow(state, segment, flow, now_ms)
 
 
-def _place(state, segment, flow, now_ms):
+def _place_flow(state, segment, flow, now_ms):
     """Send an opening to a target that it has not been sent to yet."""
     service = flow.route.shares[0].service
     if len(flow.route.shares) > 1:
-        service = _choose_share(state, flow.route)
+        service = _choose_service(state, flow.route)
     pool = state.pool(service)
     chosen = pool.choose_for_flow(
         now_ms, flow.tried, state.domains_for(flow.route)
     )
     if chosen is None:
-        return _nowhere(state, segment, flow, now_ms)
+        return _handle_unplaceable(state, segment, flow, now_ms)
     entry = state.tags.entries[chosen.name]
     load = flow_cost(chosen, now_ms)
     pool.note_opening(chosen, now_ms)
@@ -201,7 +201,7 @@
     ]
 
 
-def _choose_share(state, route):
+def _choose_service(state, route):
     """Return a service of a route, by weight, in fixed turns."""
     total = sum(share.weight for share in route.shares)
     state.turn += 1
@@ -214,20 +214,20 @@
     return route.shares[-1].service
 
 
-def _nowhere(state, segment, flow, now_ms):
+def _handle_unplaceable(state, segment, flow, now_ms):
     """Decide on an opening that no further target can take."""
     if not state.has_targets:
-        return _hold(state, segment, now_ms)
+        return _enqueue(state, segment, now_ms)
     if may_open(state, flow.target, now_ms):
-        return _repeat(state, segment, flow, now_ms)
+        return _resend_opening(state, segment, flow, now_ms)
     if flow.tried and segment is flow.opening:
         # Its client has not asked again: an answer may be under way.
         return []
     end_flow(state, flow, now_ms)
-    return [_refuse(segment, RefusalReason.NO_TARGET)]
+    return [_make_refuse(segment, RefusalReason.NO_TARGET)]
 
 
-def _repeat(state, segment, flow, now_ms):
+def _resend_opening(state, segment, flow, now_ms):
     """Send an opening once more to the target that got it last."""
     entry = state.tags.entries[flow.target]
     load = load_of(state, flow.target)
@@ -239,39 +239,39 @@
 # Segments of flows that are open, or seem so.
 
 
-def _unseen(state, segment, route, now_ms):
+def _adopt_flow(state, segment, route, now_ms):
     """Take over a flow that another balancer saw so far."""
-    entry = _named_by(state, segment, route)
+    entry = _find_by_tag(state, segment, route)
     if entry is None:
-        return _unknown(state, segment, now_ms)
+        return _handle_unknown_tag(state, segment, now_ms)
     flow = _add_flow(state, segment, route, Phase.OPEN, now_ms)
     flow.tag = segment.tag
     flow.sent = segment.sequence
     flow.acknowledged = segment.acknowledgement
     move_flow(state, flow, entry.name, now_ms)
-    return _follow(state, segment, flow, now_ms)
+    return _forward_on_flow(state, segment, flow, now_ms)
 
 
-def _named_by(state, segment, route):
+def _find_by_tag(state, segment, route):
     services = [share.service for share in route.shares]
     return state.tags.find(segment.tag, services)
 
 
-def _unknown(state, segment, now_ms):
+def _handle_unknown_tag(state, segment, now_ms):
     if segment.resets or not segment.tag:
-        return [_drop(segment, RefusalReason.UNKNOWN_TAG)]
-    actions = _hold(state, segment, now_ms)
+        return [_make_drop(segment, RefusalReason.UNKNOWN_TAG)]
+    actions = _enqueue(state, segment, now_ms)
     return [*actions, TargetsNeeded(segment)]
 
 
-def _follow(state, segment, flow, now_ms):
+def _forward_on_flow(state, segment, flow, now_ms):
     actions = []
     if flow.phase is Phase.OPENING and segment.tag:
-        actions += _opened(state, segment, flow, now_ms)
+        actions += _confirm_target(state, segment, flow, now_ms)
     entry = state.tags.entries.get(flow.target)
     if entry is None:
         end_flow(state, flow, now_ms)
-        return [*actions, _refuse(segment, RefusalReason.TARGET_GONE)]
+        return [*actions, _make_refuse(segment, RefusalReason.TARGET_GONE)]
     actions += note_progress(state, segment, flow, now_ms)
     flow.seen_ms = now_ms
     if segment.resets or segment.closes:
@@ -279,23 +279,25 @@
     elif state.health.is_proven_dead(flow.target, now_ms):
         end_flow(state, flow, now_ms)
         reason = RefusalReason.TARGET_DEAD
-        return [*actions, _refuse(segment, reason, flow.target)]
+        return [*actions, _make_refuse(segment, reason, flow.target)]
     elif state.health.is_dead(flow.target):
         # Found dead a while ago: it may be back, so it is asked again.
         actions.append(
-            TargetSilent(flow.target, now_ms, Sign.RETURN, flow.key)
+            TargetUnresponsive(
+                flow.target, now_ms, EvidenceKind.RETURN, flow.key
+            )
         )
     actions.append(Forward(segment, entry, flow.tag))
     return actions
 
 
-def _opened(state, segment, flow, now_ms):
+def _confirm_target(state, segment, flow, now_ms):
     """Pin a flow to the target that its client chose."""
     flow.phase = Phase.OPEN
     flow.opening = None
     flow.sent = segment.sequence
     flow.acknowledged = segment.acknowledgement
-    named = _named_by(state, segment, flow.route)
+    named = _find_by_tag(state, segment, flow.route)
     if named is not None and named.name != flow.target:
         move_flow(state, flow, named.name, now_ms)
     if named is not None:
@@ -307,7 +309,7 @@
             now_ms - flow.opened_ms,
             len(flow.tried),
         ),
-        TargetSeen(flow.target, now_ms),
+        TargetResponsive(flow.target, now_ms),
     ]
 
 
@@ -315,31 +317,31 @@
 
 
 @message
-class _Held(Message):
+class _PendingSegment(Message):
     segment: Segment
     until_ms: int
 
 
-def _hold(state, segment, now_ms):
+def _enqueue(state, segment, now_ms):
     actions = []
-    if len(state.held) >= MAX_HELD:
-        oldest = state.held.popleft()
-        actions.append(_drop(oldest.segment, RefusalReason.HELD_TOO_LONG))
-    state.held.append(_Held(segment, now_ms + HELD_MS))
+    if len(state.pending) >= MAX_PENDING:
+        oldest = state.pending.popleft()
+        actions.append(_make_drop(oldest.segment, RefusalReason.HELD_TOO_LONG))
+    state.pending.append(_PendingSegment(segment, now_ms + PENDING_TIMEOUT_MS))
     return actions
 
 
-def _release(state, now_ms):
+def _retry_pending(state, now_ms):
     """Decide anew on what waited; what is unknown still waits on."""
-    waiting = list(state.held)
-    state.held.clear()
+    waiting = list(state.pending)
+    state.pending.clear()
     actions = []
-    for held in waiting:
-        before = len(state.held)
-        actions += _segment(state, held.segment, now_ms)
-        if len(state.held) > before:
-            state.held[-1] = held
-        flow = state.flows.get(held.segment.flow)
+    for pending in waiting:
+        before = len(state.pending)
+        actions += _handle_segment(state, pending.segment, now_ms)
+        if len(state.pending) > before:
+            state.pending[-1] = pending
+        flow = state.flows.get(pending.segment.flow)
         if flow is not None:
             # Its client may have given up; then no answer means nothing.
             flow.opening = None
@@ -349,7 +351,7 @@
 # What changes in routes and targets.
 
 
-def _routes(state, event):
+def _update_routes(state, event):
     if state.table is not None and event.table.version <= state.table.version:
         return []
     state.use_table(event.table)
@@ -358,10 +360,10 @@
         route = event.table.routes.get(flow.address)
         if route is None:
             end_flow(state, flow, event.now_ms)
-            actions.append(_cut(flow, RefusalReason.ROUTE_DROPPED))
+            actions.append(_refuse_flow(flow, RefusalReason.ROUTE_DROPPED))
         else:
             flow.route = route
-    return actions + _release(state, event.now_ms)
+    return actions + _retry_pending(state, event.now_ms)
 
 
 def _evacuate(state, event):
@@ -370,10 +372,10 @@
     state.slots.clear()
     for pool in state.pools.values():
         pool.close_domains(event.domains, event.now_ms)
-    return _release(state, event.now_ms)
+    return _retry_pending(state, event.now_ms)
 
 
-def _cut(flow, reason):
+def _refuse_flow(flow, reason):
     return Refuse(
         flow=flow.key,
         client=flow.client,
@@ -384,20 +386,20 @@
     )
 
 
-def _put(state, event):
+def _put_target(state, event):
     entry = event.entry
     before = state.tags.entries.get(entry.name)
     state.tags.add(entry)
     actions = []
     if before is not None and entry.is_other_start(before):
-        actions = _restart(state, entry, event.now_ms)
-    state.former.pop(entry.name, None)
+        actions = _handle_restart(state, entry, event.now_ms)
+    state.retired.pop(entry.name, None)
     state.slots.pop(entry.service, None)
-    state.pool(entry.service).put(_info(state, event), event.now_ms)
+    state.pool(entry.service).put(_target_info(state, event), event.now_ms)
     return actions
 
 
-def _restart(state, entry, now_ms):
+def _handle_restart(state, entry, now_ms):
     """A target started anew under its name: nothing of before holds.
 
     It resets what it gets of a flow that it does not hold.  So it is sent
@@ -418,7 +420,7 @@
     return [TargetRestarted(entry, ended, len(actions)), *actions]
 
 
-def _info(state, event):
+def _target_info(state, event):
     entry = event.entry
     is_avoided = state.health.is_avoided(entry.name)
     return TargetInfo(
@@ -427,30 +429,30 @@
         leaving=entry.draining,
         slots=entry.slots,
         warm_up_ms=entry.warm_up_ms,
-        last_choice=event.is_doubted or is_avoided,
+        last_choice=event.is_missing or is_avoided,
     )
 
 
-def _remove(state, event):
+def _retire_target(state, event):
     entry = state.tags.entries.get(event.name)
     if entry is None:
         return []
     state.slots.pop(entry.service, None)
     state.pool(entry.service).remove(event.name)
-    state.former[event.name] = event.now_ms + state.flow_max_age_ms
+    state.retired[event.name] = event.now_ms + state.flow_max_age_ms
     return []
 
 
-def _add_former(state, event):
+def _add_retired(state, event):
     """Find the flows of a target that was gone before this one started."""
     name = event.entry.name
     if name not in state.tags.entries:
         state.tags.add(event.entry)
-        state.former[name] = event.until_ms
+        state.retired[name] = event.until_ms
     return []
 
 
-def _died(state, event):
+def _update_health(state, event):
     entry = state.tags.entries.get(event.name)
     if entry is None:
         return []
@@ -464,7 +466,7 @@
         if flow.target != event.name or flow.phase is not Phase.OPEN:
             continue
         end_flow(state, flow, event.now_ms)
-        actions.append(_cut(flow, RefusalReason.TARGET_DEAD))
+        actions.append(_refuse_flow(flow, RefusalReason.TARGET_DEAD))
     return actions
 
 
@@ -475,27 +477,29 @@
     actions = []
     gap_ms = now_ms - state.ticked_ms
     state.ticked_ms = now_ms
-    if gap_ms > GAP_MS:
+    if gap_ms > MAX_TICK_GAP_MS:
         for flow in state.opening:
             flow.tried_ms = max(flow.tried_ms, now_ms)
     while state.opening:
         flow = state.opening[0]
-        if now_ms - flow.tried_ms < FIRST_ANSWER_MS:
+        if now_ms - flow.tried_ms < OPENING_TIMEOUT_MS:
             break
         state.opening.popleft()
-        actions += _unanswered(state, flow, now_ms)
+        actions += _handle_unanswered(state, flow, now_ms)
     if state.is_watching_stalls:
         actions += _find_stalls(state, gap_ms, now_ms)
-    while state.held and now_ms >= state.held[0].until_ms:
-        held = state.held.popleft()
-        actions.append(_drop(held.segment, RefusalReason.HELD_TOO_LONG))
+    while state.pending and now_ms >= state.pending[0].until_ms:
+        pending = state.pending.popleft()
+        actions.append(
+            _make_drop(pending.segment, RefusalReason.HELD_TOO_LONG)
+        )
     if now_ms >= state.next_sweep_ms:
-        state.next_sweep_ms = now_ms + SWEEP_MS
+        state.next_sweep_ms = now_ms + SWEEP_INTERVAL_MS
         _sweep(state, now_ms)
     return actions
 
 
-def _unanswered(state, flow, now_ms):
+def _handle_unanswered(state, flow, now_ms):
     """An opening got no answer in time: try another target."""
     is_waiting = flow.phase is Phase.OPENING and flow.opening is not None
     if not is_waiting or state.flows.get(flow.key) is not flow:
@@ -507,43 +511,45 @@
             pool = state.pool(entry.service)
             pool.avoid(name, now_ms + AVOID_MS)
         for_ms = now_ms - flow.opened_ms
-        silent = TargetSilent(name, now_ms, Sign.OPENING, flow.key, for_ms)
+        silent = TargetUnresponsive(
+            name, now_ms, EvidenceKind.OPENING, flow.key, for_ms
+        )
         actions.append(silent)
-    if len(flow.tried) < MAX_TRIED:
-        actions += _place(state, flow.opening, flow, now_ms)
+    if len(flow.tried) < MAX_TRIED_TARGETS:
+        actions += _place_flow(state, flow.opening, flow, now_ms)
     return actions
 
 
 def _find_stalls(state, gap_ms, now_ms):
     """Avoid targets that give no answer; others shall hear of it."""
-    is_evidence = gap_ms <= GAP_MS and not state.health.is_link_busy
+    is_evidence = gap_ms <= MAX_TICK_GAP_MS and not state.health.is_link_busy
     stalled = state.stalls.find(now_ms, is_evidence)
     for one in stalled:
         state.pool(one.service).avoid(one.target, now_ms + AVOID_MS)
     return stalled
 
 
-def _hold_out(state, event):
+def _eject(state, event):
     entry = state.tags.entries.get(event.name)
     if entry is not None:
         pool = state.pool(entry.service)
-        pool.hold_out(event.name, event.until_ms, event.now_ms)
+        pool.eject(event.name, event.until_ms, event.now_ms)
     return []
 
 
 def _sweep(state, now_ms):
     """Forget flows that ended or rested too long, and old targets."""
-    idle_ms = state.table.idle_limit_ms if state.table else HELD_MS
+    idle_ms = state.table.idle_limit_ms if state.table else PENDING_TIMEOUT_MS
     for flow in list(state.flows.values()):
         limit_ms = idle_ms
         if flow.phase is not Phase.OPEN:
-            limit_ms = CLOSED_MS
-        if flow.is_working and now_ms - flow.working_ms > WORK_MS:
+            limit_ms = CLOSED_RETENTION_MS
+        if flow.is_working and now_ms - flow.working_ms > STALE_REQUEST_MS:
             note_work(state, flow, False, now_ms)
         if now_ms - flow.seen_ms > limit_ms:
             end_flow(state, flow, now_ms)
-    for name, until_ms in list(state.former.items()):
+    for name, until_ms in list(state.retired.items()):
         if now_ms >= until_ms:
-            del state.former[name]
+            del state.retired[name]
             state.health.forget(name)
             state.tags.remove(name)
--- a/src/liftmount/_internal/decisions/overflow.py
+++ b/src/liftmount/_internal/decisions/overflow.py
@@ -13,14 +13,14 @@
 
 # Part of its slots that a domain's load may take before it counts as short:
 # with three slots above it requests wait longer than they take.
-SHORT_SHARE = 0.75
+MAX_LOAD_SHARE = 0.75
 # Part of the other domains' slots that answers at most while cut off, and
 # at least when the cut has healed.
-CUT_SHARE = 0.1
-HEALED_SHARE = 0.5
+MAX_CUT_ALIVE_SHARE = 0.1
+MIN_HEALED_ALIVE_SHARE = 0.5
 # How long a cut must be seen before it counts, and its end: a few probes.
-CUT_MS = 500
-HEALED_MS = 1_000
+CUT_CONFIRM_MS = 500
+HEALED_CONFIRM_MS = 1_000
 
 
 @message
@@ -28,28 +28,28 @@
     """The load of one service, in slots, as one balancer sees it.
 
     ``demand_slots`` is what the whole domain's clients keep busy;
-    ``near_slots`` are those of its own targets that answer.
-    ``far_slots`` are those of other domains, ``far_alive_slots`` what of
+    ``local_slots`` are those of its own targets that answer.
+    ``remote_slots`` are those of other domains, ``remote_alive_slots`` what of
     them answers.
     """
 
     demand_slots: float
-    near_slots: int
-    far_slots: int
-    far_alive_slots: int
+    local_slots: int
+    remote_slots: int
+    remote_alive_slots: int
 
 
 @message
-class DomainSeen(Message):
+class DomainObserved(Message):
     """The load of each service; ``is_isolated`` if no far member lives.
 
-    ``far_seen_ms`` is when a flow to another domain's target last showed
+    ``remote_progress_ms`` is when a flow to another domain's target last showed
     progress: then it was a target that failed and not the way there.
     """
 
     loads: tuple[DomainLoad, ...]
     is_isolated: bool
-    far_seen_ms: int
+    remote_progress_ms: int
     now_ms: int
 
 
@@ -57,7 +57,7 @@
 class OverflowChanged(Message):
     """The domain's clients are handed over, or taken back."""
 
-    is_out: bool
+    is_handed_over: bool
     reason: str
 
 
@@ -65,31 +65,33 @@
 class OverflowState:
     """Since when the domain seems cut off, or healed; None if it isn't."""
 
-    is_out: bool = False
-    cut_ms: int | None = None
-    healed_ms: int | None = None
+    is_handed_over: bool = False
+    cut_since_ms: int | None = None
+    healed_since_ms: int | None = None
 
 
-def decide(state: OverflowState, event: DomainSeen) -> list:
+def decide(state: OverflowState, event: DomainObserved) -> list:
     """Return an OverflowChanged when the state changes."""
     _note_cut(state, event)
-    if state.is_out:
+    if state.is_handed_over:
         return _check_healed(state, event.now_ms)
-    return _check_short(state, event)
+    return _check_overload(state, event)
 
 
 def _note_cut(state, event):
     now_ms = event.now_ms
     is_cut = bool(_cut_loads(event))
     if not is_cut:
-        state.cut_ms = None
-    elif state.cut_ms is None:
-        state.cut_ms = now_ms
-    is_healed = not is_cut and _far_share(event) >= HEALED_SHARE
+        state.cut_since_ms = None
+    elif state.cut_since_ms is None:
+        state.cut_since_ms = now_ms
+    is_healed = (
+        not is_cut and _remote_alive_share(event) >= MIN_HEALED_ALIVE_SHARE
+    )
     if not is_healed:
-        state.healed_ms = None
-    elif state.healed_ms is None:
-        state.healed_ms = now_ms
+        state.healed_since_ms = None
+    elif state.healed_since_ms is None:
+        state.healed_since_ms = now_ms
 
 
 def _cut_loads(event):
@@ -98,47 +100,53 @@
     A service that sends few flows abroad notices a cut late, so each
     service counts for itself.
     """
-    if event.now_ms - event.far_seen_ms < CUT_MS:
+    if event.now_ms - event.remote_progress_ms < CUT_CONFIRM_MS:
         return []
     return [
         load
         for load in event.loads
-        if load.far_slots and (event.is_isolated or _is_cut(load))
+        if load.remote_slots and (event.is_isolated or _is_cut(load))
     ]
 
 
 def _is_cut(load):
-    return load.far_alive_slots <= CUT_SHARE * load.far_slots
+    return load.remote_alive_slots <= MAX_CUT_ALIVE_SHARE * load.remote_slots
 
 
-def _far_share(event):
+def _remote_alive_share(event):
     """Return which part of the far slots answers."""
-    far = sum(load.far_slots for load in event.loads)
-    alive = sum(load.far_alive_slots for load in event.loads)
-    return alive / far if far else 1.0
+    remote = sum(load.remote_slots for load in event.loads)
+    alive = sum(load.remote_alive_slots for load in event.loads)
+    return alive / remote if remote else 1.0
 
 
 def _check_healed(state, now_ms):
-    if state.healed_ms is None or now_ms - state.healed_ms < HEALED_MS:
+    if (
+        state.healed_since_ms is None
+        or now_ms - state.healed_since_ms < HEALED_CONFIRM_MS
+    ):
         return []
-    state.is_out = False
+    state.is_handed_over = False
     return [OverflowChanged(False, 'other domains answer again')]
 
 
-def _check_short(state, event):
-    if state.cut_ms is None or event.now_ms - state.cut_ms < CUT_MS:
+def _check_overload(state, event):
+    if (
+        state.cut_since_ms is None
+        or event.now_ms - state.cut_since_ms < CUT_CONFIRM_MS
+    ):
         return []
-    short = [load for load in _cut_loads(event) if _is_short(load)]
-    if not short:
+    overloaded = [load for load in _cut_loads(event) if _is_overloaded(load)]
+    if not overloaded:
         return []
-    state.is_out = True
-    worst = max(short, key=lambda load: load.demand_slots)
+    state.is_handed_over = True
+    worst = max(overloaded, key=lambda load: load.demand_slots)
     demand = round(worst.demand_slots, 1)
-    reason = f'cut off with {worst.near_slots} slots for a load of {demand}'
+    reason = f'cut off with {worst.local_slots} slots for a load of {demand}'
     return [OverflowChanged(True, reason)]
 
 
-def _is_short(load):
+def _is_overloaded(load):
     """Tell whether the own targets can't carry what others could."""
-    is_loaded = load.demand_slots > SHORT_SHARE * load.near_slots
-    return is_loaded and load.far_slots > load.near_slots
+    is_loaded = load.demand_slots > MAX_LOAD_SHARE * load.local_slots
+    return is_loaded and load.remote_slots > load.local_slots
--- a/src/liftmount/_internal/decisions/pool.py
+++ b/src/liftmount/_internal/decisions/pool.py
@@ -16,21 +16,21 @@
 from liftmount._internal.decisions.capacity import BusyShare
 from liftmount._internal.decisions.capacity import Capacity
 from liftmount._internal.decisions.capacity import INITIAL_LIMIT
-from liftmount._internal.decisions.cold_targets import ColdBudget
+from liftmount._internal.decisions.slow_start import SlowStartBudget
 
 FADE_MS = 12_000.0
 RAMP_MS = 20_000
 RAMP_START = 0.1
 FAILURES_TO_EJECT = 3
-FIRST_EJECTION_MS = 1_000
-LONGEST_EJECTION_MS = 30_000
-WEIGHTS_MS = 250
+INITIAL_EJECTION_MS = 1_000
+MAX_EJECTION_MS = 30_000
+WEIGHT_REFRESH_MS = 250
 MAX_EJECTED_SHARE = 0.5
 # Beyond this share of its targets a service is slow, and not some of them.
-MAX_HELD_OUT_SHARE = 1 / 3
+MAX_STALL_EJECTED_SHARE = 1 / 3
 # Beyond this many targets a sample is compared instead of all of them.
-COMPARE_ALL = 24
-SAMPLE = 16
+MAX_COMPARED = 24
+SAMPLE_SIZE = 16
 # Weight of what runs now beside the fading share; breaks ties between
 # targets whose share is equal and spreads bursts.
 IN_PROGRESS_WEIGHT = 0.05
@@ -45,7 +45,7 @@
 NEW_FLOW_SHARE = 0.25
 # Balancers that see equal targets must not all choose the same one, so
 # each leans a little, by up to this many slots, to some of them.
-LEAN_SHARE = 0.15
+MAX_BIAS_SLOTS = 0.15
 CRC_MASK = 2**32 - 1
 _LCG_FACTOR = 6364136223846793005
 _LCG_STEP = 1442695040888963407
@@ -134,7 +134,7 @@
     seed: int = 1
     panics: int = 0
     closed: frozenset[str] = frozenset()
-    cold: ColdBudget | None = None
+    cold: SlowStartBudget | None = None
     busy: BusyShare = Factory(
         lambda self: BusyShare(self.fade_ms), takes_self=True
     )
@@ -156,10 +156,10 @@
 
     def put(self, info: TargetInfo, now_ms: int) -> None:
         """Add a target, or take over what is said of it anew."""
-        self._forget_usable()
+        self._invalidate_usable()
         known = self.targets.get(info.name)
         if known is None:
-            known = self._new(info, now_ms)
+            known = self._make_load(info, now_ms)
             self.targets[info.name] = known
         known.leaving = info.leaving
         known.last_choice = info.last_choice
@@ -178,14 +178,14 @@
 
     def remove(self, name: str) -> None:
         """Forget a target."""
-        self._forget_usable()
+        self._invalidate_usable()
         target = self.targets.pop(name, None)
         if target is not None:
             self.in_progress -= target.in_progress
         if self.cold is not None:
             self.cold.forget(name)
 
-    def _new(self, info, now_ms):
+    def _make_load(self, info, now_ms):
         # A newcomer counts as busy as the others, or it would be flooded.
         busy = self.mean_busy(now_ms)
         share = BusyShare(self.fade_ms, busy, now_ms)
@@ -201,12 +201,12 @@
             leaving=info.leaving,
             slots=info.slots,
             capacity=Capacity(limit=limit),
-            lean=self._lean(info.name),
+            lean=self._bias(info.name),
         )
 
-    def _lean(self, name):
+    def _bias(self, name):
         mixed = crc32(name.encode(), self.seed & CRC_MASK)
-        return LEAN_SHARE * mixed / CRC_MASK
+        return MAX_BIAS_SLOTS * mixed / CRC_MASK
 
     def seen(self, name: str, incarnation: int, now_ms: int) -> None:
         """Note the incarnation that a target gave when it was met.
@@ -224,8 +224,8 @@
             name, target.failure_domain, incarnation, target.leaving
         )
         self.in_progress -= target.in_progress
-        self.targets[name] = self._new(info, now_ms)
-        self._forget_usable()
+        self.targets[name] = self._make_load(info, now_ms)
+        self._invalidate_usable()
 
     def demand(self, now_ms: int) -> float:
         """Return how many slots were in use of late, over all targets."""
@@ -274,14 +274,14 @@
         """
         returned = self.closed - domains
         self.closed = domains
-        self._forget_usable()
+        self._invalidate_usable()
         if self.cold is None:
             return
         cold_until_ms = now_ms + self.cold.warm_up.lasts_ms
-        for one in self.targets.values():
-            if one.failure_domain in returned:
-                until_ms = max(one.warm_until_ms, cold_until_ms)
-                self._set_warm_until(one, until_ms, now_ms)
+        for target in self.targets.values():
+            if target.failure_domain in returned:
+                until_ms = max(target.warm_until_ms, cold_until_ms)
+                self._set_warm_until(target, until_ms, now_ms)
 
     def _usable_in(self, domains, now_ms):
         """Return the usable targets in some failure domains, None for all."""
@@ -290,25 +290,30 @@
             return usable
         found = self._usable_by_domains.get(domains)
         if found is None:
-            found = [one for one in usable if one.failure_domain in domains]
+            found = [
+                target for target in usable if target.failure_domain in domains
+            ]
             self._usable_by_domains[domains] = found
         return found
 
     def _find_usable(self, now_ms):
         self._usable_by_domains.clear()
         self._cold_until_ms = max(
-            (one.warm_until_ms for one in self.targets.values()), default=0
+            (target.warm_until_ms for target in self.targets.values()),
+            default=0,
         )
-        present = [one for one in self.targets.values() if self.may_take(one)]
-        preferred = [one for one in present if not one.last_choice]
+        present = [
+            target for target in self.targets.values() if self.may_take(target)
+        ]
+        preferred = [target for target in present if not target.last_choice]
         present = preferred or present
         healthy = []
-        self._usable_until_ms = now_ms + LONGEST_EJECTION_MS
-        for one in present:
-            if now_ms >= one.ejected_until_ms:
-                healthy.append(one)
+        self._usable_until_ms = now_ms + MAX_EJECTION_MS
+        for target in present:
+            if now_ms >= target.ejected_until_ms:
+                healthy.append(target)
             else:
-                until_ms = min(self._usable_until_ms, one.ejected_until_ms)
+                until_ms = min(self._usable_until_ms, target.ejected_until_ms)
                 self._usable_until_ms = until_ms
         if len(healthy) < len(present) * (1 - MAX_EJECTED_SHARE):
             self.panics += 1
@@ -320,16 +325,16 @@
         target = self.targets.get(name)
         if target is not None:
             target.ejected_until_ms = max(target.ejected_until_ms, until_ms)
-            self._forget_usable()
+            self._invalidate_usable()
 
-    def hold_out(self, name: str, until_ms: int, now_ms: int) -> None:
+    def eject(self, name: str, until_ms: int, now_ms: int) -> None:
         """Give a target no new work, unless too many get none already."""
         avoided = sum(
-            now_ms < one.ejected_until_ms
-            for one in self.targets.values()
-            if one.name != name
+            now_ms < target.ejected_until_ms
+            for target in self.targets.values()
+            if target.name != name
         )
-        if avoided + 1 <= MAX_HELD_OUT_SHARE * len(self.targets):
+        if avoided + 1 <= MAX_STALL_EJECTED_SHARE * len(self.targets):
             self.avoid(name, until_ms)
 
     def set_last_choice(self, name: str, is_last: bool) -> None:
@@ -337,9 +342,9 @@
         target = self.targets.get(name)
         if target is not None:
             target.last_choice = is_last
-            self._forget_usable()
+            self._invalidate_usable()
 
-    def _forget_usable(self):
+    def _invalidate_usable(self):
         self._usable = None
 
     def choose(self, now_ms: int, avoid=()) -> TargetLoad | None:
@@ -347,24 +352,26 @@
         usable = self._sample(self.usable(now_ms))
         allowed = usable
         if avoid:
-            allowed = [one for one in usable if one.name not in avoid]
-        prior = self._prior(allowed)
+            allowed = [target for target in usable if target.name not in avoid]
+        prior = self._prior_limit(allowed)
         free = [
-            one
-            for one in allowed
-            if one.in_progress < one.capacity.usable_limit(prior)
+            target
+            for target in allowed
+            if target.in_progress < target.capacity.usable_limit(prior)
         ]
         if not free:
             # Work waits and all are full: the time to learn more.
-            free = [one for one in allowed if _may_try(one, prior, now_ms)]
+            free = [
+                target for target in allowed if _may_try(target, prior, now_ms)
+            ]
         if not free:
             return None
-        return min(free, key=lambda one: self._score(one, prior, now_ms))
+        return min(free, key=lambda target: self._score(target, prior, now_ms))
 
     @staticmethod
-    def _prior(targets):
+    def _prior_limit(targets):
         """Return the limit that the upper quarter of the targets proved."""
-        limits = sorted(one.capacity.limit for one in targets)
+        limits = sorted(target.capacity.limit for target in targets)
         return limits[len(limits) * 3 // 4] if limits else INITIAL_LIMIT
 
     def choose_for_stream(self, now_ms: int, avoid=()) -> TargetLoad | None:
@@ -384,58 +391,65 @@
         """
         usable = self._usable_in(domains, now_ms)
         if self.cold is not None and now_ms < self._cold_until_ms:
-            usable = [one for one in usable if self.may_open(one, now_ms)]
+            usable = [
+                target for target in usable if self.may_open(target, now_ms)
+            ]
         return self._choose_least(
-            usable, now_ms, avoid, lambda one: flow_cost(one, now_ms)
+            usable, now_ms, avoid, lambda target: flow_cost(target, now_ms)
         )
 
     def _choose_least(self, usable, now_ms, avoid, cost):
         """Return the target of the least cost, weights up to date."""
         usable = self._sample(usable)
         if avoid:
-            usable = [one for one in usable if one.name not in avoid]
+            usable = [target for target in usable if target.name not in avoid]
         if not usable:
             return None
         if now_ms >= self._reference_until_ms:
-            self._reference_until_ms = now_ms + WEIGHTS_MS
+            self._reference_until_ms = now_ms + WEIGHT_REFRESH_MS
             # Where latencies are not seen there is nothing to compare.
-            seen = [one for one in usable if one.capacity.latencies]
+            seen = [target for target in usable if target.capacity.latencies]
             self._reference_ms = self._mean_latency_ms(seen)
-        for one in usable:
-            if now_ms >= one.weight_until_ms:
-                self._weigh(one, now_ms)
+        for target in usable:
+            if now_ms >= target.weight_until_ms:
+                self._update_weight(target, now_ms)
         return min(usable, key=cost)
 
-    def _weigh(self, one, now_ms):
+    def _update_weight(self, target, now_ms):
         """Work out the weight of a target anew; it changes slowly."""
-        one.weight_until_ms = now_ms + WEIGHTS_MS
-        weight = stream_weight(one, self._reference_ms) * one.ramp(now_ms)
-        if one.failure_domain != self.failure_domain:
+        target.weight_until_ms = now_ms + WEIGHT_REFRESH_MS
+        weight = stream_weight(target, self._reference_ms) * target.ramp(
+            now_ms
+        )
+        if target.failure_domain != self.failure_domain:
             weight *= 1.0 - self.remote_penalty
-        one.weight = weight
+        target.weight = weight
 
-    def _score(self, one, prior, now_ms):
-        limit = one.capacity.usable_limit(prior)
-        busy = one.busy.update(one.in_progress, now_ms) / limit
-        score = busy + IN_PROGRESS_WEIGHT * one.in_progress / limit
-        if one.failure_domain != self.failure_domain:
+    def _score(self, target, prior, now_ms):
+        limit = target.capacity.usable_limit(prior)
+        busy = target.busy.update(target.in_progress, now_ms) / limit
+        score = busy + IN_PROGRESS_WEIGHT * target.in_progress / limit
+        if target.failure_domain != self.failure_domain:
             score += self.remote_penalty
         return score
 
     def _sample(self, usable):
-        if len(usable) <= COMPARE_ALL:
+        if len(usable) <= MAX_COMPARED:
             return usable
-        return [usable[self._next() % len(usable)] for _ in range(SAMPLE)]
+        return [
+            usable[self._next_random() % len(usable)]
+            for _ in range(SAMPLE_SIZE)
+        ]
 
-    def _next(self):
+    def _next_random(self):
         self.seed = (self.seed * _LCG_FACTOR + _LCG_STEP) & _LCG_MASK
         return self.seed >> 33
 
     @staticmethod
     def _mean_latency_ms(targets):
         means = {}
-        for one in targets:
-            for service, latency in one.capacity.latencies.items():
+        for target in targets:
+            for service, latency in target.capacity.latencies.items():
                 means.setdefault(service, []).append(latency.mean_ms)
         return {key: sum(v) / len(v) for key, v in means.items()}
 
@@ -476,10 +490,10 @@
         target.failures += 1
         if target.failures < FAILURES_TO_EJECT:
             return
-        length_ms = FIRST_EJECTION_MS << min(target.ejections, 10)
-        length_ms = min(length_ms, LONGEST_EJECTION_MS)
+        length_ms = INITIAL_EJECTION_MS << min(target.ejections, 10)
+        length_ms = min(length_ms, MAX_EJECTION_MS)
         target.ejected_until_ms = now_ms + length_ms
-        self._forget_usable()
+        self._invalidate_usable()
         target.ejections += 1
         # One more failure after the return ejects again, for longer.
         target.failures = FAILURES_TO_EJECT - 1
@@ -487,17 +501,18 @@
     def wait_ms(self, ahead: int, now_ms: int) -> float:
         """Estimate how long a request waits behind ``ahead`` others."""
         rate_per_ms = 0.0
-        for one in self.usable(now_ms):
-            known = one.capacity.latencies.values()
+        for target in self.usable(now_ms):
+            known = target.capacity.latencies.values()
             if known:
                 mean_ms = sum(item.mean_ms for item in known) / len(known)
-                rate_per_ms += one.capacity.limit / mean_ms
+                rate_per_ms += target.capacity.limit / mean_ms
         return ahead / rate_per_ms if rate_per_ms else 0.0
 
     def latency_ms(self, service: str) -> float:
         """Return the least mean latency of a service; 0 when unknown."""
         found = [
-            one.capacity.latency_ms(service) for one in self.targets.values()
+            target.capacity.latency_ms(service)
+            for target in self.targets.values()
         ]
         known = [latency_ms for latency_ms in found if latency_ms is not None]
         return min(known, default=0.0)
--- a/src/liftmount/_internal/decisions/cold_targets.py
+++ b/src/liftmount/_internal/decisions/slow_start.py
@@ -28,7 +28,7 @@
 # A moment that passed without a flow for this long is gone.  Kept, those of a
 # quiet time would all be used at once: after 5 s four times the stated rate,
 # worked out.  So moments of 1.5 s count in any second, 1.2 times the rate.
-VALID_MS = 500
+SEND_TIME_VALID_MS = 500
 CRC_VALUES = 2**32
 
 
@@ -46,7 +46,7 @@
 
 
 @define
-class ColdBudget:
+class SlowStartBudget:
     """What the cold targets of one service may get from this balancer.
 
     ``since_ms`` tells when each turned cold, ``next_ms`` when it may get
@@ -72,7 +72,7 @@
             mixed = crc32(f'{self.fleet.name} {target}'.encode())
             phase_ms = gap_ms * mixed / CRC_VALUES
             next_ms = self.since_ms.get(target, now_ms) + phase_ms
-        late_ms = now_ms - next_ms - VALID_MS
+        late_ms = now_ms - next_ms - SEND_TIME_VALID_MS
         if late_ms > 0:
             next_ms += gap_ms * ceil(late_ms / gap_ms)
         self.next_ms[target] = next_ms
--- a/src/liftmount/_internal/decisions/stalls.py
+++ b/src/liftmount/_internal/decisions/stalls.py
@@ -18,11 +18,11 @@
 
 # A wait this many times as long as the mean answer takes is none that
 # follows from the spread of work: its longest tenth takes some three times.
-STALL_TIMES = 8
+STALL_FACTOR = 8
 # Bounds of such a wait.  Clients send again after 200 ms what was lost, and
 # give up after some seconds.
-LEAST_STALL_MS = 250
-MOST_STALL_MS = 1_500
+MIN_STALL_MS = 250
+MAX_STALL_MS = 1_500
 # Weight of a new answer in the mean: some twenty of them turn it over.
 ANSWER_WEIGHT = 0.05
 
@@ -39,7 +39,7 @@
 
 
 @define
-class _Waiting:
+class _PendingRequest:
     """A request of a flow, since ``began_ms``."""
 
     flow: object
@@ -47,7 +47,7 @@
 
 
 @define
-class _Service:
+class _ServiceRequests:
     """Requests of one service, in the order in which they began.
 
     ``mean_ms`` is what an answer takes, 0 while none has come.
@@ -59,9 +59,9 @@
     def limit_ms(self) -> float:
         """Return after how long a request without an answer is a stall."""
         if not self.mean_ms:
-            return MOST_STALL_MS
+            return MAX_STALL_MS
         return min(
-            max(LEAST_STALL_MS, STALL_TIMES * self.mean_ms), MOST_STALL_MS
+            max(MIN_STALL_MS, STALL_FACTOR * self.mean_ms), MAX_STALL_MS
         )
 
 
@@ -69,11 +69,11 @@
 class StallWatch:
     """Requests that wait for an answer, by service."""
 
-    services: dict[str, _Service] = Factory(dict)
+    services: dict[str, _ServiceRequests] = Factory(dict)
 
     def began(self, service: str, flow, now_ms: int) -> None:
         """Note that a flow sent new data of a request."""
-        self._service(service).waiting.append(_Waiting(flow, now_ms))
+        self._service(service).waiting.append(_PendingRequest(flow, now_ms))
 
     def answered(self, service: str, took_ms: int) -> None:
         """Note that an answer came."""
@@ -85,7 +85,7 @@
     def _service(self, name):
         found = self.services.get(name)
         if found is None:
-            found = self.services[name] = _Service()
+            found = self.services[name] = _ServiceRequests()
         return found
 
     def find(self, now_ms: int, is_evidence: bool) -> list[Stalled]:
@@ -101,7 +101,7 @@
             while waiting and waiting[0].began_ms <= began_by_ms:
                 one = waiting.popleft()
                 if is_evidence and _still_waits(one):
-                    found.append(_stalled(name, one, now_ms))
+                    found.append(_make_stalled(name, one, now_ms))
         return found
 
 
@@ -110,7 +110,7 @@
     return flow.is_working and flow.working_ms == one.began_ms
 
 
-def _stalled(service, one, now_ms):
+def _make_stalled(service, one, now_ms):
     flow = one.flow
     waited_ms = now_ms - one.began_ms
     return Stalled(flow.target, service, flow.key, waited_ms, now_ms)
--- a/src/liftmount/_internal/decisions/target_health.py
+++ b/src/liftmount/_internal/decisions/target_health.py
@@ -31,26 +31,26 @@
 PROBE_GAP_MS = 20
 # How long a flow must have waited to speak against a target while the own
 # link is busy: clients send again after 200 ms what waited there.
-BUSY_PATIENCE_MS = 250
+BUSY_LINK_MIN_WAIT_MS = 250
 # Intervals between probes of a suspected target while the link is busy.
-FIRST_SUSPECT_MS = 250
-LONGEST_SUSPECT_MS = 1_000
+INITIAL_SUSPECT_INTERVAL_MS = 250
+MAX_SUSPECT_INTERVAL_MS = 1_000
 # Intervals between probes of a dead target; a probe costs as much as a
 # tenth of a request, an outage lasts some seconds.
-FIRST_RETRY_MS = 700
-LONGEST_RETRY_MS = 2_500
+INITIAL_DEAD_INTERVAL_MS = 700
+MAX_DEAD_INTERVAL_MS = 2_500
 # How long a silent probe proves that a target is dead, where a flow would
 # be reset for it.  A cut that heals makes an older proof wrong; the next
 # probe of the target takes 100 ms, a client sends again after 200 ms.
-PROOF_MS = 700
+PROOF_VALID_MS = 700
 # A target that gave a sign of life this recently is not probed: silence
 # towards one flow is then a lost packet or a full target.
-LIFE_MS = 30
+RECENT_ACTIVITY_MS = 30
 # How long an answered probe speaks for a target, at first and at most; it
 # doubles while flows go on to speak against it.  A target that is slow under
 # load is not dead, and probes are load.
-FIRST_TRUST_MS = 300
-LONGEST_TRUST_MS = 2_400
+INITIAL_TRUST_MS = 300
+MAX_TRUST_MS = 2_400
 
 
 class Condition(Enum):
@@ -80,7 +80,7 @@
     VOID = 'void'
 
 
-class Sign(Enum):
+class EvidenceKind(Enum):
     """What speaks against a target.
 
     ``OPENING`` had no answer in time, ``DATA`` was sent again, and
@@ -93,7 +93,7 @@
 
 
 @message
-class TargetSilent(Message):
+class TargetUnresponsive(Message):
     """A flow gave evidence that a target does not answer.
 
     ``for_ms`` is how long the flow has waited.
@@ -101,13 +101,13 @@
 
     target: str
     now_ms: int
-    sign: Sign = Sign.DATA
+    sign: EvidenceKind = EvidenceKind.DATA
     flow: bytes = b''
     for_ms: int = 0
 
 
 @message
-class TargetSeen(Message):
+class TargetResponsive(Message):
     """A flow showed that a target answers."""
 
     target: str
@@ -123,7 +123,7 @@
 
 
 @message
-class LinkSeen(Message):
+class LinkStateChanged(Message):
     """Whether the own link is busy."""
 
     is_busy: bool
@@ -140,7 +140,7 @@
 
 
 @message
-class TargetJudged(Message):
+class ConditionChanged(Message):
     """The belief about a target changed; ``probes`` led to it.
 
     One that is neither dead nor suspected is alive.
@@ -156,21 +156,21 @@
 class _Health:
     """What is known of one target.
 
-    ``doubted_ms`` is when the last doubt began, ``silent_probes`` counts
+    ``probing_since_ms`` is when the last doubt began, ``unanswered_probes`` counts
     those sent since that got no answer, ``proofs`` those of them over a free
-    link, ``under_way`` those that have not ended.  ``sent_ms`` and
-    ``probed_ms`` are when the last one was sent and when the last silent one
+    link, ``in_flight`` those that have not ended.  ``sent_ms`` and
+    ``last_proof_ms`` are when the last one was sent and when the last silent one
     ended.  Until ``trusted_ms`` it is not doubted, after an answer that
     spoke for it for ``trust_ms``.
     """
 
     condition: Condition = Condition.ALIVE
-    doubted_ms: int = 0
-    silent_probes: int = 0
+    probing_since_ms: int = 0
+    unanswered_probes: int = 0
     proofs: int = 0
-    under_way: int = 0
+    in_flight: int = 0
     sent_ms: int = 0
-    probed_ms: int = 0
+    last_proof_ms: int = 0
     seen_ms: int = 0
     trusted_ms: int = 0
     trust_ms: int = 0
@@ -182,7 +182,7 @@
 class TargetHealth:
     """Evidence on the targets that some flow spoke against.
 
-    ``waiting`` are those that are not believed alive: only they need a
+    ``unhealthy`` are those that are not believed alive: only they need a
     look at each tick.  ``is_link_busy`` tells whether silence may be that of
     the own link.
     """
@@ -190,7 +190,7 @@
     targets: dict[str, _Health] = Factory(dict)
     dead: set[str] = Factory(set)
     suspected: set[str] = Factory(set)
-    waiting: set[str] = Factory(set)
+    unhealthy: set[str] = Factory(set)
     is_link_busy: bool = False
 
     def is_dead(self, target: str) -> bool:
@@ -205,26 +205,26 @@
         """Tell whether a target is dead, and was found so of late."""
         if target not in self.dead:
             return False
-        return now_ms - self.targets[target].probed_ms <= PROOF_MS
+        return now_ms - self.targets[target].last_proof_ms <= PROOF_VALID_MS
 
     def forget(self, target: str) -> None:
         """Drop what is known of a target that is gone."""
         self.targets.pop(target, None)
         self.dead.discard(target)
         self.suspected.discard(target)
-        self.waiting.discard(target)
+        self.unhealthy.discard(target)
 
 
 def decide(state: TargetHealth, event) -> list:
     """Return the actions for an event."""
     match event:
-        case TargetSilent():
-            return _silent(state, event)
-        case TargetSeen():
-            return _seen(state, event)
+        case TargetUnresponsive():
+            return _handle_unresponsive(state, event)
+        case TargetResponsive():
+            return _handle_responsive(state, event)
         case ProbeEnded():
-            return _probed(state, event)
-        case LinkSeen():
+            return _handle_probe_end(state, event)
+        case LinkStateChanged():
             state.is_link_busy = event.is_busy
             return []
         case Tick():
@@ -232,142 +232,149 @@
     raise TypeError(f'unknown event {event!r}')
 
 
-def _silent(state, event):
-    if state.is_link_busy and event.for_ms < BUSY_PATIENCE_MS:
+def _handle_unresponsive(state, event):
+    if state.is_link_busy and event.for_ms < BUSY_LINK_MIN_WAIT_MS:
         return []
     health = state.targets.setdefault(event.target, _Health())
     match health.condition:
         case Condition.PROBED | Condition.SUSPECTED:
             return []
         case Condition.DEAD:
-            return _prove_again(health, event)
-    if event.now_ms <= max(health.seen_ms + LIFE_MS, health.trusted_ms):
+            return _reprobe_dead(health, event)
+    if event.now_ms <= max(
+        health.seen_ms + RECENT_ACTIVITY_MS, health.trusted_ms
+    ):
         return []
     health.condition = Condition.PROBED
-    health.doubted_ms = event.now_ms
-    health.silent_probes = 0
+    health.probing_since_ms = event.now_ms
+    health.unanswered_probes = 0
     health.proofs = 0
-    health.under_way = 0
-    state.waiting.add(event.target)
-    return _probe(health, event.target, event.now_ms)
+    health.in_flight = 0
+    state.unhealthy.add(event.target)
+    return _send_probe(health, event.target, event.now_ms)
 
 
-def _prove_again(health, event):
-    if health.under_way or event.now_ms - health.probed_ms <= PROOF_MS:
+def _reprobe_dead(health, event):
+    if (
+        health.in_flight
+        or event.now_ms - health.last_proof_ms <= PROOF_VALID_MS
+    ):
         return []
-    return _probe(health, event.target, event.now_ms)
+    return _send_probe(health, event.target, event.now_ms)
 
 
-def _seen(state, event):
+def _handle_responsive(state, event):
     health = state.targets.get(event.target)
     if health is None:
         return []
     health.seen_ms = event.now_ms
     health.trust_ms = 0
-    return _alive(state, event.target, health)
+    return _mark_alive(state, event.target, health)
 
 
-def _alive(state, target, health):
+def _mark_alive(state, target, health):
     was_avoided = state.is_avoided(target)
     health.condition = Condition.ALIVE
     state.dead.discard(target)
     state.suspected.discard(target)
-    state.waiting.discard(target)
+    state.unhealthy.discard(target)
     if not was_avoided:
         return []
-    return [TargetJudged(target, False, health.silent_probes)]
+    return [ConditionChanged(target, False, health.unanswered_probes)]
 
 
-def _probed(state, event):
+def _handle_probe_end(state, event):
     health = state.targets.get(event.target)
     if health is None:
         return []
     if event.result is ProbeResult.ANSWERED:
-        _trust(health, event.now_ms)
-        return _alive(state, event.target, health)
-    is_late = event.sent_ms < health.doubted_ms
+        _extend_trust(health, event.now_ms)
+        return _mark_alive(state, event.target, health)
+    is_late = event.sent_ms < health.probing_since_ms
     if health.condition is Condition.ALIVE or is_late:
         return []
-    health.under_way -= 1
+    health.in_flight -= 1
     if event.result is ProbeResult.VOID:
         health.next_probe_ms = event.now_ms
         return []
-    health.silent_probes += 1
+    health.unanswered_probes += 1
     is_proof = event.result is not ProbeResult.UNPROVEN
     if is_proof:
         health.proofs += 1
-        health.probed_ms = event.now_ms
+        health.last_proof_ms = event.now_ms
     if health.condition is Condition.DEAD:
-        health.retry_ms = min(2 * health.retry_ms, LONGEST_RETRY_MS)
+        health.retry_ms = min(2 * health.retry_ms, MAX_DEAD_INTERVAL_MS)
         health.next_probe_ms = event.now_ms + health.retry_ms
         return []
     is_replaced = event.result is ProbeResult.REPLACED
     if health.proofs >= PROBES_TO_DEAD or is_replaced:
-        return _dead(state, event, health)
+        return _mark_dead(state, event, health)
     if health.condition is Condition.SUSPECTED:
-        _probe_suspect(health, is_proof, event.now_ms)
+        _schedule_suspect_probe(health, is_proof, event.now_ms)
         return []
-    return [] if is_proof else _suspect(state, event, health)
+    return [] if is_proof else _mark_suspected(state, event, health)
 
 
-def _suspect(state, event, health):
+def _mark_suspected(state, event, health):
     """Avoid a target that is silent, until there is proof."""
     health.condition = Condition.SUSPECTED
-    health.retry_ms = FIRST_SUSPECT_MS
+    health.retry_ms = INITIAL_SUSPECT_INTERVAL_MS
     health.next_probe_ms = event.now_ms + health.retry_ms
     state.suspected.add(event.target)
-    return [TargetJudged(event.target, False, health.silent_probes, True)]
+    return [
+        ConditionChanged(event.target, False, health.unanswered_probes, True)
+    ]
 
 
-def _probe_suspect(health, is_proof, now_ms):
+def _schedule_suspect_probe(health, is_proof, now_ms):
     """Go on at once while there is proof, else ever later."""
     interval_ms = PROBE_GAP_MS
     if not is_proof:
-        health.retry_ms = min(2 * health.retry_ms, LONGEST_SUSPECT_MS)
+        health.retry_ms = min(2 * health.retry_ms, MAX_SUSPECT_INTERVAL_MS)
         interval_ms = health.retry_ms
     health.next_probe_ms = now_ms + interval_ms
 
 
-def _trust(health, now_ms):
-    doubled_ms = max(FIRST_TRUST_MS, 2 * health.trust_ms)
-    health.trust_ms = min(doubled_ms, LONGEST_TRUST_MS)
+def _extend_trust(health, now_ms):
+    doubled_ms = max(INITIAL_TRUST_MS, 2 * health.trust_ms)
+    health.trust_ms = min(doubled_ms, MAX_TRUST_MS)
     health.trusted_ms = now_ms + health.trust_ms
 
 
-def _dead(state, event, health):
+def _mark_dead(state, event, health):
     health.condition = Condition.DEAD
-    health.under_way = 0
-    health.retry_ms = FIRST_RETRY_MS
+    health.in_flight = 0
+    health.retry_ms = INITIAL_DEAD_INTERVAL_MS
     health.next_probe_ms = event.now_ms + health.retry_ms
     # What is still under way of a target that was replaced tells nothing.
-    health.doubted_ms = event.now_ms
+    health.probing_since_ms = event.now_ms
     state.suspected.discard(event.target)
     state.dead.add(event.target)
-    return [TargetJudged(event.target, True, health.silent_probes)]
+    return [ConditionChanged(event.target, True, health.unanswered_probes)]
 
 
-def _probe(health, target, now_ms):
-    health.under_way += 1
+def _send_probe(health, target, now_ms):
+    health.in_flight += 1
     health.sent_ms = now_ms
     return [SendProbe(target, now_ms)]
 
 
 def _tick(state, now_ms):
     actions = []
-    for target in state.waiting:
+    for target in state.unhealthy:
         health = state.targets[target]
         if _is_due(health, state.is_link_busy, now_ms):
-            actions += _probe(health, target, now_ms)
+            actions += _send_probe(health, target, now_ms)
     return actions
 
 
 def _is_due(health, is_link_busy, now_ms):
     """Tell whether another probe of a doubted or dead target is due."""
     if health.condition is not Condition.PROBED:
-        return not health.under_way and now_ms >= health.next_probe_ms
-    if is_link_busy and health.under_way:
+        return not health.in_flight and now_ms >= health.next_probe_ms
+    if is_link_busy and health.in_flight:
         # More of them would wait behind it.
         return False
-    sent = health.silent_probes + health.under_way
+    sent = health.unanswered_probes + health.in_flight
     is_spaced = now_ms - health.sent_ms >= PROBE_GAP_MS
     return sent < PROBES_TO_DEAD and is_spaced
--- a/src/liftmount/_internal/models/flow_messages.py
+++ b/src/liftmount/_internal/models/flow_messages.py
@@ -35,15 +35,15 @@
 
 @message
 class TargetPut(Message):
-    """A target is there; ``is_doubted`` if its entry vanished."""
+    """A target is there; ``is_missing`` if its entry vanished."""
 
     entry: TargetEntry
     now_ms: int
-    is_doubted: bool = False
+    is_missing: bool = False
 
 
 @message
-class FormerTarget(Message):
+class RetiredTarget(Message):
     """A peer tells of a target that is gone, but may still hold flows."""
 
     entry: TargetEntry
@@ -78,7 +78,7 @@
 
 
 @message
-class TargetDied(Message):
+class TargetHealthChanged(Message):
     """A target answers no more, or does again.
 
     One that ``is_suspected`` is only avoided.
@@ -91,7 +91,7 @@
 
 
 @message
-class TargetHeldOut(Message):
+class TargetEjected(Message):
     """Several balancers saw a target give no answer."""
 
     name: str
--- a/src/liftmount/_internal/services/packet_path.py
+++ b/src/liftmount/_internal/services/packet_path.py
@@ -12,12 +12,12 @@
 from liftmount._internal.decisions import overflow
 from liftmount._internal.decisions import stalls
 from liftmount._internal.decisions import target_health
-from liftmount._internal.decisions.cold_targets import Fleet
 from liftmount._internal.decisions.flow_table import domain_loads
 from liftmount._internal.decisions.flow_table import ForwardingState
 from liftmount._internal.decisions.flow_table import is_probe_wanted
 from liftmount._internal.decisions.flow_table import may_be_finishing
-from liftmount._internal.decisions.own_link import OwnLink
+from liftmount._internal.decisions.link_monitor import LinkMonitor
+from liftmount._internal.decisions.slow_start import Fleet
 from liftmount._internal.exceptions import PacketError
 from liftmount._internal.models import flow_messages as flows
 from liftmount._internal.models.addresses import Endpoint
@@ -77,7 +77,7 @@
         self.shutdown = None
         self.overflow = overflow.OverflowState()
         self.members = DomainMembers(1, False)
-        self.link = OwnLink(options.link_megabits_per_s)
+        self.link = LinkMonitor(options.link_megabits_per_s)
         self.state = ForwardingState(
             options.failure_domain,
             options.flow_max_age_ms,
@@ -106,7 +106,7 @@
         if self.shutdown is not None:
             self.shutdown.record_refusal()
             return 'stopping'
-        if self.overflow.is_out:
+        if self.overflow.is_handed_over:
             return 'clients are handed to other domains'
         if self.state.table is None:
             return 'no configuration yet'
@@ -165,12 +165,12 @@
         """Update whether the own link is busy and log changes."""
         is_busy = self.link.is_busy(now_ms)
         if is_busy != self.state.health.is_link_busy:
-            self._update_health(target_health.LinkSeen(is_busy))
+            self._update_health(target_health.LinkStateChanged(is_busy))
             self._log.write(
                 'link',
                 'busy' if is_busy else 'free',
-                inward_waits_ms=round(self.link.inward.waits_ms),
-                outward_waits_ms=round(self.link.outward.waits_ms),
+                inward_waits_ms=round(self.link.inbound.queued_ms),
+                outward_waits_ms=round(self.link.outbound.queued_ms),
             )
 
     def _check_overflow(self, now_ms):
@@ -178,14 +178,14 @@
         if now_ms < self._next_overflow_check_ms:
             return
         self._next_overflow_check_ms = now_ms + OVERFLOW_CHECK_MS
-        event = overflow.DomainSeen(
+        event = overflow.DomainObserved(
             domain_loads(self.state, self.members.local, now_ms),
             self.members.is_isolated,
-            self.state.far_seen_ms,
+            self.state.remote_progress_ms,
             now_ms,
         )
         for action in overflow.decide(self.overflow, event):
-            name = 'handed_over' if action.is_out else 'taken_back'
+            name = 'handed_over' if action.is_handed_over else 'taken_back'
             self._log.write('domain', name, reason=action.reason)
             self._counters.count(f'domain.{name}')
 
@@ -240,11 +240,11 @@
                     self._report_unknown_target()
                 case target_health.SendProbe():
                     self._queue_probe(action)
-                case target_health.TargetJudged():
+                case target_health.ConditionChanged():
                     self._apply_condition(action)
-                case target_health.TargetSilent():
+                case target_health.TargetUnresponsive():
                     self._handle_unresponsive(action)
-                case target_health.TargetSeen():
+                case target_health.TargetResponsive():
                     self._update_health(action)
                 case _:
                     self._record_action(action)
@@ -277,7 +277,7 @@
 
     def eject(self, name: str, until_ms: int) -> None:
         """Place no new flows on a target until ``until_ms``."""
-        event = flows.TargetHeldOut(name, until_ms, self.clock.now_ms())
+        event = flows.TargetEjected(name, until_ms, self.clock.now_ms())
         self.execute(forwarding.decide(self.state, event))
 
     def _log_restarted(self, action):
@@ -300,7 +300,7 @@
         self._counters.count('probes_spared')
         self.state.health.forget(action.target)
         now_ms = self.clock.now_ms()
-        change = flows.TargetDied(action.target, False, now_ms)
+        change = flows.TargetHealthChanged(action.target, False, now_ms)
         self.execute(forwarding.decide(self.state, change))
 
     def _report_unknown_target(self):
@@ -334,7 +334,7 @@
         self._log.write(
             'targets', event, target=action.target, probes=action.probes
         )
-        change = flows.TargetDied(
+        change = flows.TargetHealthChanged(
             action.target,
             action.is_dead,
             self.clock.now_ms(),
--- a/src/liftmount/_internal/services/store_cache.py
+++ b/src/liftmount/_internal/services/store_cache.py
@@ -12,8 +12,8 @@
 from liftmount._internal.decisions import forwarding
 from liftmount._internal.decisions.directory import DirectoryState
 from liftmount._internal.decisions.evacuations import EvacuationState
-from liftmount._internal.decisions.flow_table import former_targets
 from liftmount._internal.decisions.flow_table import ForwardingState
+from liftmount._internal.decisions.flow_table import retired_targets
 from liftmount._internal.models import flow_messages as flows
 from liftmount._internal.models.feeds import Delta
 from liftmount._internal.models.feeds import Evacuated
@@ -51,7 +51,7 @@
         if answer.feed == EVACUATIONS:
             return self.apply_evacuations(update, now_ms)
         if not (is_listing and update.may_lag):
-            self.state.are_targets_proven = True
+            self.state.are_targets_confirmed = True
         if is_listing:
             event = directory.TargetsListed(items, update.revision, now_ms)
         else:
@@ -70,10 +70,10 @@
             actions += self.apply_evacuations(snapshot.evacuated, now_ms)
         for expiring in snapshot.retired:
             until_ms = now_ms + expiring.left_ms
-            event = flows.FormerTarget(expiring.entry, until_ms)
+            event = flows.RetiredTarget(expiring.entry, until_ms)
             actions += forwarding.decide(self.state, event)
         if snapshot.targets or snapshot.missing:
-            self.state.are_targets_proven = True
+            self.state.are_targets_confirmed = True
             event = directory.TargetsListed(
                 snapshot.targets,
                 snapshot.targets_revision,
@@ -134,7 +134,7 @@
             table=table,
             routes_revision=self.routes_revision,
             missing=self.directory.missing_entries(now_ms),
-            retired=former_targets(self.state, now_ms),
+            retired=retired_targets(self.state, now_ms),
             evacuated=evacuated,
         )
 
--- a/tests/features/steps/beliefs_steps.py
+++ b/tests/features/steps/beliefs_steps.py
@@ -44,15 +44,15 @@
                 now_ms += target_health.PROBE_GAP_MS
                 event = Tick(now_ms)
             case ['silent']:
-                event = target_health.TargetSilent('one', now_ms)
+                event = target_health.TargetUnresponsive('one', now_ms)
             case ['silent', waited]:
-                event = target_health.TargetSilent(
+                event = target_health.TargetUnresponsive(
                     'one', now_ms, for_ms=int(waited)
                 )
             case ['link', state]:
-                event = target_health.LinkSeen(state == 'busy')
+                event = target_health.LinkStateChanged(state == 'busy')
             case ['seen']:
-                event = target_health.TargetSeen('one', now_ms)
+                event = target_health.TargetResponsive('one', now_ms)
             case ['tick']:
                 event = Tick(now_ms)
             case ['probe', result]:
@@ -75,7 +75,7 @@
     health = target_health.TargetHealth()
     context.probes = 0
     for now_ms in range(START_MS, START_MS + interval, gap_ms):
-        silent = target_health.TargetSilent('one', now_ms)
+        silent = target_health.TargetUnresponsive('one', now_ms)
         for sent in target_health.decide(health, silent):
             context.probes += 1
             ended = target_health.ProbeEnded(
--- a/tests/features/steps/cold_steps.py
+++ b/tests/features/steps/cold_steps.py
@@ -7,8 +7,8 @@
 
 from benches.cold import Case
 from benches.cold import run
-from liftmount._internal.decisions.cold_targets import ColdBudget
-from liftmount._internal.decisions.cold_targets import Fleet
+from liftmount._internal.decisions.slow_start import Fleet
+from liftmount._internal.decisions.slow_start import SlowStartBudget
 from liftmount._internal.models import flow_messages as flows
 from liftmount._internal.models.records import changed
 from liftmount._internal.models.segments import WarmUp
@@ -63,7 +63,7 @@
     context.budgets = []
     context.now_ms = 1_000 + quiet
     for index in range(balancers):
-        budget = ColdBudget(warm_up, Fleet(f'b{index}', balancers))
+        budget = SlowStartBudget(warm_up, Fleet(f'b{index}', balancers))
         budget.begin('one', 1_000)
         context.budgets.append(budget)
 
--- a/tests/features/steps/evacuations_steps.py
+++ b/tests/features/steps/evacuations_steps.py
@@ -136,7 +136,7 @@
 @then('it is held')
 def is_held(context):
     assert not context.balancer.last, context.balancer.last
-    assert len(context.balancer.state.held) == 1
+    assert len(context.balancer.state.pending) == 1
 
 
 @then('the opening of client {client:d} was sent to {target} alone')
@@ -172,7 +172,7 @@
     pools = list(balancer.state.pools)
     loads = domain_loads(balancer.state, 1, balancer.now_ms)
     load = loads[pools.index('guide')]
-    found = (load.near_slots, load.far_slots, load.far_alive_slots)
+    found = (load.local_slots, load.remote_slots, load.remote_alive_slots)
     assert found == (near, far, far), found
 
 
--- a/tests/features/steps/forwarding_steps.py
+++ b/tests/features/steps/forwarding_steps.py
@@ -15,11 +15,11 @@
 from liftmount._internal.decisions.flow_evidence import RESEND_MS
 from liftmount._internal.decisions.flow_table import ForwardingState
 from liftmount._internal.decisions.flow_table import Phase
+from liftmount._internal.decisions.target_health import ConditionChanged
 from liftmount._internal.decisions.target_health import ProbeEnded
 from liftmount._internal.decisions.target_health import ProbeResult
 from liftmount._internal.decisions.target_health import PROBES_TO_DEAD
-from liftmount._internal.decisions.target_health import TargetJudged
-from liftmount._internal.decisions.target_health import TargetSilent
+from liftmount._internal.decisions.target_health import TargetUnresponsive
 from liftmount._internal.models import flow_messages as flows
 from liftmount._internal.models.addresses import Endpoint
 from liftmount._internal.models.addresses import parse_endpoint
@@ -282,7 +282,7 @@
 def held(context):
     balancer = context.balancer
     assert not forwards(balancer.last)
-    assert len(balancer.state.held) == 1
+    assert len(balancer.state.pending) == 1
     kinds = [type(one) for one in balancer.last]
     assert kinds == [flows.TargetsNeeded], kinds
 
@@ -313,7 +313,7 @@
 
 @then('{count:d} silences were reported')
 def silences_reported(context, count):
-    found = context.balancer.of(TargetSilent)
+    found = context.balancer.of(TargetUnresponsive)
     assert len(found) == count, found
 
 
@@ -452,7 +452,7 @@
     balancer = context.balancer
     entry = make_entry('former', service, number=number)
     until_ms = balancer.now_ms + FORMER_LEFT_MS
-    balancer.feed(flows.FormerTarget(entry, until_ms))
+    balancer.feed(flows.RetiredTarget(entry, until_ms))
     context.number = number
 
 
@@ -512,17 +512,17 @@
     """Judge a target dead or alive, by evidence and probes."""
     now_ms = balancer.now_ms
     result = ProbeResult.SILENT if is_dead else ProbeResult.ANSWERED
-    events = [TargetSilent(name, now_ms)]
+    events = [TargetUnresponsive(name, now_ms)]
     ended = ProbeEnded(name, result, now_ms, now_ms)
     events += [ended] * PROBES_TO_DEAD
-    judged = TargetJudged(name, is_dead, 0)
+    judged = ConditionChanged(name, is_dead, 0)
     for event in events:
         health = balancer.state.health
         for action in target_health.decide(health, event):
-            if isinstance(action, TargetJudged):
+            if isinstance(action, ConditionChanged):
                 judged = action
     return balancer.feed(
-        flows.TargetDied(judged.target, is_dead, balancer.now_ms)
+        flows.TargetHealthChanged(judged.target, is_dead, balancer.now_ms)
     )
 
 
@@ -537,7 +537,7 @@
     balancer = context.balancer
     (found,) = forwards(balancer.last)
     assert found.target.name == target, found
-    (silence,) = balancer.of(TargetSilent)
+    (silence,) = balancer.of(TargetUnresponsive)
     asked = target_health.decide(balancer.state.health, silence)
     now_ms = balancer.now_ms
     assert asked == [target_health.SendProbe(target, now_ms)], asked
--- a/tests/features/steps/overflow_steps.py
+++ b/tests/features/steps/overflow_steps.py
@@ -19,9 +19,9 @@
     until_ms = context.now_ms + interval_ms
     while context.now_ms < until_ms:
         context.now_ms += STEP_MS
-        far_seen_ms = context.now_ms if far_seen else 0
-        event = overflow.DomainSeen(
-            loads, is_isolated, far_seen_ms, context.now_ms
+        remote_progress_ms = context.now_ms if far_seen else 0
+        event = overflow.DomainObserved(
+            loads, is_isolated, remote_progress_ms, context.now_ms
         )
         overflow.decide(context.overflow, event)
 
@@ -57,4 +57,6 @@
 
 @then('its clients are handed over: {answer}')
 def handed_over(context, answer):
-    assert context.overflow.is_out == (answer == 'yes'), context.overflow
+    assert context.overflow.is_handed_over == (answer == 'yes'), (
+        context.overflow
+    )
--- a/tests/features/steps/own_link_steps.py
+++ b/tests/features/steps/own_link_steps.py
@@ -5,7 +5,7 @@
 from behave import when
 
 from liftmount._internal.decisions import target_health
-from liftmount._internal.decisions.own_link import OwnLink
+from liftmount._internal.decisions.link_monitor import LinkMonitor
 from liftmount._internal.models import flow_messages as flows
 from liftmount._internal.models.addresses import parse_endpoint
 from liftmount._internal.models.records import Tick
@@ -31,7 +31,7 @@
 
 @given('an own link of {rate:d} Mbit/s')
 def own_link(context, rate):
-    context.link = OwnLink(rate)
+    context.link = LinkMonitor(rate)
     context.now_ms = START_MS
 
 
@@ -61,12 +61,14 @@
 def found_dead(context):
     health = context.health = target_health.TargetHealth()
     silent = target_health.ProbeResult.SILENT
-    target_health.decide(health, target_health.TargetSilent(DEAD, START_MS))
+    target_health.decide(
+        health, target_health.TargetUnresponsive(DEAD, START_MS)
+    )
     for _ in range(target_health.PROBES_TO_DEAD):
         ended = target_health.ProbeEnded(DEAD, silent, START_MS, START_MS)
         target_health.decide(health, ended)
     assert health.is_proven_dead(DEAD, START_MS)
-    target_health.decide(health, target_health.LinkSeen(True))
+    target_health.decide(health, target_health.LinkStateChanged(True))
 
 
 @when('the target is silent to a probe {later:d} ms later')
@@ -91,7 +93,7 @@
 
     def __init__(self, rate, state):
         super().__init__(state)
-        self.link = OwnLink(rate)
+        self.link = LinkMonitor(rate)
         self.probes = []
         self.result = target_health.ProbeResult.SILENT
 
@@ -104,8 +106,8 @@
             match action:
                 case target_health.SendProbe():
                     self.probes.append(action)
-                case target_health.TargetJudged():
-                    died = flows.TargetDied(
+                case target_health.ConditionChanged():
+                    died = flows.TargetHealthChanged(
                         action.target,
                         action.is_dead,
                         self.now_ms,
@@ -118,9 +120,9 @@
         actions = super().feed(event)
         for action in actions:
             match action:
-                case target_health.TargetSilent():
+                case target_health.TargetUnresponsive():
                     self.judge(action)
-                case target_health.TargetSeen():
+                case target_health.TargetResponsive():
                     self.judge(action)
         return actions
 
@@ -133,7 +135,7 @@
                 if is_uploading:
                     self.link.received(UPLOAD_BYTES, self.now_ms)
             is_busy = self.link.is_busy(self.now_ms)
-            self.judge(target_health.LinkSeen(is_busy))
+            self.judge(target_health.LinkStateChanged(is_busy))
             self.feed(Tick(self.now_ms))
             self.judge(Tick(self.now_ms))
             self._end_probes()
--- a/tests/features/steps/proof_steps.py
+++ b/tests/features/steps/proof_steps.py
@@ -68,7 +68,7 @@
         tell(context, Delta((), ('one',), 12, 11))
         path.clock.advance(DOUBTED_MS)
         path.tick()
-        assert 'one' in path.state.former, path.state.former
+        assert 'one' in path.state.retired, path.state.retired
 
 
 @when('its probes are {result}, {after:d} ms after it was told')
@@ -76,7 +76,7 @@
     path = context.path
     path.clock.advance(after)
     health = path.state.health
-    silent = target_health.TargetSilent('one', path.clock.now_ms())
+    silent = target_health.TargetUnresponsive('one', path.clock.now_ms())
     path.execute(target_health.decide(health, silent))
     for _ in range(2 * target_health.PROBES_TO_DEAD):
         for sent in path.pending_probes:
--- a/tests/features/steps/stalls_steps.py
+++ b/tests/features/steps/stalls_steps.py
@@ -194,7 +194,7 @@
 @when('all of them are held out, one after the other')
 def all_held_out(context):
     for name in context.pool.targets:
-        context.pool.hold_out(name, START_MS + 2_000, START_MS)
+        context.pool.eject(name, START_MS + 2_000, START_MS)
 
 
 @then('{left:d} still get new flows')
@@ -294,7 +294,7 @@
                 for peer in peers:
                     self.members[peer].inbox.append(doubt)
             case stall_reports.EjectTarget(target, until_ms):
-                member.pool.hold_out(target, until_ms, now_ms)
+                member.pool.eject(target, until_ms, now_ms)
 
 
 @given('{balancers:d} balancers before {targets:d} targets, of which '
--- a/tests/features/steps/transfer_steps.py
+++ b/tests/features/steps/transfer_steps.py
@@ -345,7 +345,7 @@
     path.clock.advance(after)
     sent_ms = path.clock.now_ms()
     health = path.state.health
-    silent = target_health.TargetSilent('one', sent_ms)
+    silent = target_health.TargetUnresponsive('one', sent_ms)
     for _ in range(target_health.PROBES_TO_DEAD):
         path.execute(target_health.decide(health, silent))
         path.clock.advance(target_health.PROBE_GAP_MS)
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -124,7 +124,7 @@
     Mutation(
         'leaving target: it still counts as present',
         'decisions/pool.py',
-        'if not one.leaving]',
+        'if not target.leaving]',
         ']',
         STOP,
         "the operator's word",
@@ -172,7 +172,7 @@
     Mutation(
         'soak: leaving targets get new flows',
         'decisions/pool.py',
-        'if not one.leaving]',
+        'if not target.leaving]',
         ']',
         SOAK,
         'targets are replaced',
@@ -308,8 +308,8 @@
     Mutation(
         'evacuations: an evacuated domain counts slots to hand over to',
         'decisions/flow_table.py',
-        'if not pool.may_take(one):',
-        'if one.leaving:',
+        'if not pool.may_take(target):',
+        'if target.leaving:',
         EVACUATIONS,
         'An evacuated domain has no slots',
     ),
@@ -339,7 +339,7 @@
     ),
     Mutation(
         'cold: all of a quiet time is sent at once',
-        'decisions/cold_targets.py',
+        'decisions/slow_start.py',
         '    if late_ms > 0:',
         '    if False:',
         COLD,
@@ -347,7 +347,7 @@
     ),
     Mutation(
         'cold: all send the first flow at once',
-        'decisions/cold_targets.py',
+        'decisions/slow_start.py',
         'phase_ms = gap_ms * mixed / CRC_VALUES',
         'phase_ms = 0',
         COLD,
@@ -364,7 +364,7 @@
     Mutation(
         'cold: targets that are taken back are warm',
         'decisions/pool.py',
-        'if one.failure_domain in returned:',
+        'if target.failure_domain in returned:',
         'if False:',
         COLD,
         'Targets of a domain that is taken back',
@@ -372,8 +372,8 @@
     Mutation(
         'regions: any target may take an opening',
         'decisions/pool.py',
-        'found = [one for one in usable if one.failure_domain in domains]',
-        'found = usable',
+        'if target.failure_domain in domains',
+        'if True',
         COLD,
         'Openings go to the regions that a route allows',
     ),
@@ -387,7 +387,7 @@
     ),
     Mutation(
         'the own link is never busy',
-        'decisions/own_link.py',
+        'decisions/link_monitor.py',
         'return now_ms < self.busy_until_ms',
         'return False',
         OWN_LINK,
@@ -444,7 +444,7 @@
     Mutation(
         'all targets may be held out',
         'decisions/pool.py',
-        'if avoided + 1 <= MAX_HELD_OUT_SHARE * len(self.targets):',
+        'if avoided + 1 <= MAX_STALL_EJECTED_SHARE * len(self.targets):',
         'if True:',
         STALLS,
         'No more than a third of a service is held out',
