--- a/src/liftmount/_internal/decisions/flow_evidence.py
+++ b/src/liftmount/_internal/decisions/flow_evidence.py
@@ -1,7 +1,7 @@
-"""What the segments of a flow tell of its target.
+"""Evidence on target health from the segments of flows.
 
-Targets answer clients directly, so a balancer sees an answer only by what
-the client acknowledges, and silence by what it sends again.
+Targets answer clients directly, so a balancer infers an answer from the
+client's acknowledgements, and a missing answer from retransmissions.
 """
 
 from liftmount._internal.decisions.flow_table import Flow
@@ -12,10 +12,10 @@
 from liftmount._internal.decisions.target_health import TargetUnresponsive
 from liftmount._internal.models.segments import Segment
 
-# Clients send data again after 200 ms.  What comes sooner was overtaken by
-# its successor on the way.
+# Data repeated sooner was reordered on its path: clients retransmit after
+# 200 ms.
 RESEND_MS = 150
-# Sequence numbers are modulo 2**32; a difference above half is negative.
+# Sequence numbers are modulo 2**32; a difference of half or more is negative.
 SEQUENCE_MASK = 2**32 - 1
 HALF_SEQUENCE = 2**31
 
@@ -23,15 +23,16 @@
 def note_progress(
     state: ForwardingState, segment: Segment, flow: Flow, now_ms: int
 ) -> list:
-    """Gather evidence on a flow's target from one segment.
+    """Update a flow from a segment and return evidence on its target.
 
-    Returns a TargetResponsive, a TargetUnresponsive, or nothing.
+    The list holds a TargetResponsive, a TargetUnresponsive, or nothing.
     """
     if segment.acknowledgement != flow.acknowledged:
         flow.acknowledged = segment.acknowledgement
         _note_answer(state, flow, now_ms)
         _note_remote_progress(state, flow, now_ms)
-        # An answer is on its way, or another request began.
+        # Without new data the client receives an answer; with new data
+        # another request began.
         _note_request(
             state, segment, flow, _note_new_data(segment, flow), now_ms
         )
@@ -78,7 +79,7 @@
 
 
 def _note_new_data(segment, flow):
-    """Tell whether a segment holds data for the first time; note it."""
+    """Record new data of a segment; return False if there is none."""
     if not segment.length_bytes:
         return False
     end = (segment.sequence + segment.length_bytes) & SEQUENCE_MASK
--- a/src/liftmount/_internal/decisions/flow_table.py
+++ b/src/liftmount/_internal/decisions/flow_table.py
@@ -1,7 +1,8 @@
-"""Flows as a balancer has seen them, and the load they make.
+"""Flow table of a balancer, and the load of its flows.
 
-The table is a cache: it spreads load, pins a flow whose opening went to two
-targets, and gives evidence on targets.  A segment is routed without it.
+The table is a cache: it balances load, pins a flow whose opening was sent to
+two targets, and yields evidence on target health. Segments can be routed
+without it.
 """
 
 from collections import deque
@@ -25,18 +26,17 @@
 from liftmount._internal.models.segments import RouteTable
 from liftmount._internal.models.segments import Segment
 
-# Part of its weight that a target of another failure domain loses: a flow
-# stays in its own domain until the targets there carry twice as much.
+# Share of its weight that a target of another failure domain loses: at 0.5
+# flows stay in the local domain until its targets carry twice the load.
 REMOTE_PENALTY = 0.5
-# How long a target that left without a word may go on serving: some drain
-# for many seconds.
+# How long a target removed without a drain notice may continue to serve.
 DRAIN_GRACE_MS = 10_000
-# How fast the busy share of a target fades: some ten requests long.
+# Decay time of a target's busy share.
 BUSY_FADE_MS = 1_500
 
 
 class Phase(Enum):
-    """Where a flow stands, as far as this balancer can tell."""
+    """State of a flow, as far as this balancer can tell."""
 
     OPENING = 'opening'
     OPEN = 'open'
@@ -45,13 +45,13 @@
 
 @define
 class Flow:
-    """A flow as this balancer has seen it.
+    """A flow as this balancer has observed it.
 
-    ``tried`` names the targets that its opening went to; ``opening`` is
-    that segment while it may be sent to another one.  ``sent`` is the
-    sequence number after the last new byte.  ``is_working`` tells whether
-    a request seems to be under way, since ``working_ms``; ``request`` is the
-    last segment of its data.
+    ``tried`` names the targets that its opening was sent to, the last one
+    at ``tried_ms``; ``opening`` is that segment while it may be sent to
+    another target. ``sent`` is the sequence number after the last new byte.
+    ``is_working`` tells whether a request seems to be in progress, since
+    ``working_ms``; ``request`` is the last segment of its data.
     """
 
     key: bytes
@@ -75,9 +75,9 @@
 
 @frozen
 class SlotCounts:
-    """Slots of a service in the own domain and in others.
+    """Slots of a service in the local failure domain and in others.
 
-    Those of dead targets count only in ``remote``.
+    Slots of dead targets count only in ``remote``.
     """
 
     local: int
@@ -87,18 +87,21 @@
 
 @define
 class ForwardingState:
-    """Routes, targets, pools by service, flows, and evidence.
-
-    ``retired`` holds when a target that is gone may be forgotten; ``seed``
-    makes the choices of balancers differ.  ``remote_progress_ms`` is when a flow
-    to a target of another failure domain last showed progress.  ``slots``
-    keeps the counts of services whose targets have not changed since.
-    ``evacuated`` names the failure domains whose targets get no new flows;
-    until it is known which ones are (None), new flows wait.  ``regions``
-    maps failure domains to theirs; ``are_targets_confirmed`` tells whether
-    more than a list that may lag told of targets; ``fleet`` tells among how
-    many cold targets are shared.  ``is_watching_stalls`` tells whether
-    requests without an answer speak against targets.
+    """Routes, targets, pools by service, flows, and target health.
+
+    ``opening`` holds the flows whose opening waits for an answer, ``pending``
+    the segments that wait for routes or targets, both in order of time.
+    ``retired`` maps a removed target to the time at which it is forgotten.
+    ``seed`` makes the choices of balancers differ. ``remote_progress_ms``
+    is when a flow to a target of another failure domain last showed
+    progress. ``slots`` caches the counts of services whose targets have not
+    changed. ``evacuated`` names the failure domains whose targets get no
+    new flows; while it is None (unknown), openings are pending. ``regions``
+    maps failure domains to regions. ``are_targets_confirmed`` tells whether
+    the targets come from a source that doesn't lag. ``fleet`` is the number
+    of balancers that share the slow start rate. ``is_watching_stalls`` tells
+    whether requests without an answer count against targets. ``turn`` is
+    the position of the round robin over a route's services.
     """
 
     failure_domain: str
@@ -127,7 +130,7 @@
 
     @property
     def is_complete(self) -> bool:
-        """Tell whether all is known that new flows need."""
+        """Tell whether routes, targets and evacuations are known."""
         is_placing = self.has_targets and self.evacuated is not None
         return self.table is not None and is_placing
 
@@ -148,13 +151,13 @@
         return found
 
     def use_table(self, table: RouteTable) -> None:
-        """Take over a configuration."""
+        """Apply the route table of a configuration version."""
         self.table = table
         for pool in self.pools.values():
             self._set_budget(pool)
 
     def _set_budget(self, pool):
-        """Keep a budget for cold targets where the service states a rate."""
+        """Set a pool's slow start budget if its service states a rate."""
         warm_ups = self.table.warm_ups if self.table else {}
         warm_up = warm_ups.get(pool.key)
         if warm_up is None:
@@ -165,7 +168,7 @@
             pool.cold.warm_up = warm_up
 
     def domains_for(self, route: Route) -> frozenset[str] | None:
-        """Return the failure domains that a route allows, None for any."""
+        """Return the failure domains that a route allows; None for any."""
         if not route.regions:
             return None
         return frozenset(
@@ -176,7 +179,7 @@
 
 
 def move_flow(state: ForwardingState, flow: Flow, target: str, now_ms) -> None:
-    """Note that a flow is at another target now."""
+    """Assign a flow to another target and update the load of both."""
     was_working = flow.is_working
     note_work(state, flow, False, now_ms)
     _count_flow(state, flow.target, -1)
@@ -192,7 +195,7 @@
 
 
 def load_of(state: ForwardingState, target: str) -> TargetLoad | None:
-    """Return the load of a target, None when it is in no pool."""
+    """Return the load of a target, or None if it is in no pool."""
     entry = state.tags.entries.get(target)
     if entry is None:
         return None
@@ -200,7 +203,7 @@
 
 
 def may_open(state: ForwardingState, target: str, now_ms: int) -> bool:
-    """Tell whether a target may get an opening once more."""
+    """Tell whether a target may receive an opening again."""
     load = load_of(state, target)
     if load is None or state.health.is_avoided(target):
         return False
@@ -211,9 +214,9 @@
 def may_be_finishing(state: ForwardingState, target: str, now_ms: int) -> bool:
     """Tell whether a target may serve flows while it refuses connections.
 
-    One that drains stops to listen before it ends, and its entry goes when
-    it has ended.  Some never say that they drain: their entry goes first.
-    Whether one drains is known for sure from a list that does not lag.
+    A draining target stops listening before it ends, and its entry is
+    removed afterwards. Without a drain notice the entry is removed first.
+    Targets that are not confirmed may be draining unnoticed.
     """
     entry = state.tags.entries.get(target)
     if entry is None:
@@ -228,10 +231,10 @@
 
 
 def is_probe_wanted(state: ForwardingState, target: str) -> bool:
-    """Tell whether anybody would gain by a probe of a target.
+    """Tell whether the result of a probe of a target would be used.
 
-    Targets of an evacuated domain are asked only for flows that are open
-    there, which a reset would let go elsewhere.
+    Targets of an evacuated domain are probed only while they hold open
+    flows, which a reset would allow to reconnect elsewhere.
     """
     entry = state.tags.entries.get(target)
     if entry is None or entry.failure_domain not in (state.evacuated or ()):
@@ -245,7 +248,7 @@
 def note_work(
     state: ForwardingState, flow: Flow, is_working: bool, now_ms: int
 ) -> None:
-    """Note that a flow's request began or ended."""
+    """Record that a flow's request began or ended."""
     if is_working:
         flow.working_ms = now_ms
     else:
@@ -263,7 +266,7 @@
 
 
 def close_flow(state: ForwardingState, flow: Flow, now_ms: int) -> None:
-    """Note that a flow is at its end; its last segments may follow."""
+    """Mark a flow as closed; its last segments may still follow."""
     if flow.phase is not Phase.CLOSED:
         note_work(state, flow, False, now_ms)
         _count_flow(state, flow.target, -1)
@@ -271,13 +274,13 @@
 
 
 def end_flow(state: ForwardingState, flow: Flow, now_ms: int) -> None:
-    """Forget a flow."""
+    """Remove a flow from the table."""
     close_flow(state, flow, now_ms)
     state.flows.pop(flow.key, None)
 
 
 def retired_targets(state: ForwardingState, now_ms: int) -> tuple:
-    """Return an Expiring for each target that is gone, but not forgotten."""
+    """Return an Expiring for each retired target."""
     return tuple(
         Expiring(state.tags.entries[name], max(0, until_ms - now_ms))
         for name, until_ms in state.retired.items()
@@ -287,8 +290,8 @@
 def domain_loads(state: ForwardingState, members: int, now_ms: int) -> tuple:
     """Return a DomainLoad for each service with targets.
 
-    This balancer sees its own part of the load; its domain has as many
-    times that as it has ``members``.
+    The domain's demand is estimated as this balancer's demand times the
+    number of ``members`` in the domain.
     """
     return tuple(
         _domain_load(state, pool, members, now_ms)
--- a/src/liftmount/_internal/decisions/flow_tags.py
+++ b/src/liftmount/_internal/decisions/flow_tags.py
@@ -1,10 +1,9 @@
-"""Flow tags: 32 bits that name the target of a flow.
+"""Flow tags: 32-bit values that identify the target of a flow.
 
-Both ends of a flow give back the last tag they got, so any balancer finds
-the target of a packet without state.  A tag is a function of the target's
-number and of one bit, the variant.  Two targets may share a tag; whoever
-places a flow then takes the other variant.  With 27,000 targets one pair
-in twelve fleets collides in one variant, and one in 10**5 in both.
+Both ends of a flow echo the last tag that they received, so any balancer
+finds the target of a packet without state. A tag is a hash of the target's
+number and of one bit, the variant. If two targets collide in one variant,
+new flows use the other one.
 """
 
 from attrs import define
@@ -23,7 +22,7 @@
 
 
 def make_tag(number: int, variant: int) -> int:
-    """Return the tag of a target's number; never 0, which means none."""
+    """Return the tag of a target's number; never 0, which means no tag."""
     mixed = (number + (variant + 1) * GAMMA) & WORD_MASK
     mixed = ((mixed ^ (mixed >> 30)) * MIX_1) & WORD_MASK
     mixed = ((mixed ^ (mixed >> 27)) * MIX_2) & WORD_MASK
@@ -35,14 +34,14 @@
 class TagTable:
     """Targets by tag, in all variants.
 
-    ``by_tag`` maps a tag to the names of its targets, mostly one.
+    ``by_tag`` maps a tag to the names of its targets, several on collision.
     """
 
     entries: dict[str, TargetEntry] = Factory(dict)
     by_tag: dict[int, tuple[str, ...]] = Factory(dict)
 
     def add(self, entry: TargetEntry) -> None:
-        """Make a target known, or take over what it says anew."""
+        """Add a target, or replace the entry of a known one."""
         is_new = entry.name not in self.entries
         self.entries[entry.name] = entry
         if not is_new:
@@ -53,20 +52,20 @@
             self.by_tag[tag] = (*names, entry.name)
 
     def remove(self, name: str) -> None:
-        """Forget a target."""
+        """Remove a target."""
         entry = self.entries.pop(name, None)
         if entry is None:
             return
         for variant in VARIANTS:
             tag = make_tag(entry.number, variant)
-            names = tuple(one for one in self.by_tag[tag] if one != name)
+            names = tuple(other for other in self.by_tag[tag] if other != name)
             if names:
                 self.by_tag[tag] = names
             else:
                 del self.by_tag[tag]
 
     def tag_for(self, name: str) -> int:
-        """Return a tag that names only this target, if there is one."""
+        """Return a tag that is unique to a target, if there is one."""
         number = self.entries[name].number
         for variant in VARIANTS:
             tag = make_tag(number, variant)
@@ -75,14 +74,14 @@
         return make_tag(number, VARIANTS[0])
 
     def find(self, tag: int, services) -> TargetEntry | None:
-        """Return the target of a tag, one of ``services`` if several have it.
+        """Return the target of a tag, or None if unknown or ambiguous.
 
-        An open flow stays at its target when its route leads to another
-        service; a balancer that started since can't know where it led
-        before.  None when no target has the tag, or when it can't be told
-        which one is meant: a guess might reach another one.
+        ``services`` only resolve a collision: an open flow stays at its
+        target when its route changes to another service.
         """
         candidates = [self.entries[name] for name in self.by_tag.get(tag, ())]
         if len(candidates) > 1:
-            candidates = [one for one in candidates if one.service in services]
+            candidates = [
+                entry for entry in candidates if entry.service in services
+            ]
         return candidates[0] if len(candidates) == 1 else None
--- a/src/liftmount/_internal/decisions/forwarding.py
+++ b/src/liftmount/_internal/decisions/forwarding.py
@@ -1,10 +1,10 @@
-"""Where each segment of a flow goes.
+"""Forwarding of segments to targets.
 
-The balancer sees only what clients send; targets answer them directly.  A
-flow opens at one target, and every later segment must reach that target,
-whichever balancer gets it.  So the tag on a segment names its target, and
-the flow table below is no more than a cache: it spreads load, pins a flow
-whose opening went to two targets, and gives evidence on targets.
+The balancer sees only what clients send; targets answer clients directly.
+Every segment of a flow must reach the target at which the flow opened,
+whichever balancer receives it. The tag on a segment therefore names its
+target, and the flow table is only a cache: it balances load, pins a flow
+whose opening was sent to two targets, and yields evidence on target health.
 """
 
 from liftmount._internal.decisions.flow_evidence import note_progress
@@ -44,33 +44,32 @@
 from liftmount._internal.models.records import Tick
 from liftmount._internal.models.segments import Segment
 
-# A request that shows no progress for this long counts no more.
+# A request without progress for this long no longer counts as load.
 STALE_REQUEST_MS = 2_000
-# An opening that nothing followed for this long is sent to another target
-# too.  The way to a target and back over the client takes 3 to 12 ms on
-# the links in use; a balancer with a quarter of a core adds some tens.
+# An opening that no segment followed for this long is also sent to another
+# target. Covers the round trip over target and client on a slow balancer.
 OPENING_TIMEOUT_MS = 70
-# A target that left an opening unanswered gets no new flows meanwhile.
+# A target that left an opening unanswered gets no new flows for this long.
 AVOID_MS = 1_000
-# Targets tried for one opening: each costs as much as an answer's place.
 MAX_TRIED_TARGETS = 4
-# Segments kept that arrived before their target or route was known, and
-# for how long: a client sends again after 200 ms.
+# Segments that arrived before their target or route was known. Clients
+# retransmit after 200 ms.
 MAX_PENDING = 512
 PENDING_TIMEOUT_MS = 400
-# A flow whose client closed or reset it is kept for its last segments.
+# A closed flow is kept this long for its last segments.
 CLOSED_RETENTION_MS = 2_000
 SWEEP_INTERVAL_MS = 1_000
-# Ticks come every 20 ms; a longer gap means that this balancer stood still
-# or was held up, and that the silence it missed says nothing.
+# After a longer gap between ticks this balancer was delayed itself, so
+# missing answers are no evidence against targets.
 MAX_TICK_GAP_MS = 120
 
 
 def decide(state: ForwardingState, event) -> list:
     """Return the actions for an event.
 
-    Evidence on targets comes back as TargetUnresponsive and TargetResponsive, for the
-    module that judges it.
+    Evidence on targets is returned as TargetUnresponsive and
+    TargetResponsive, which ``target_health`` evaluates. Raises TypeError
+    for an unknown event.
     """
     match event:
         case SegmentArrived():
@@ -142,7 +141,7 @@
 
 
 def _add_flow(state, segment, route, phase, now_ms):
-    """Begin to keep a flow."""
+    """Add a flow to the flow table."""
     flow = Flow(
         key=segment.flow,
         route=route,
@@ -162,11 +161,12 @@
 def _handle_opening(state, segment, route, flow, now_ms):
     if flow is not None and flow.phase is Phase.OPEN:
         entry = state.tags.entries.get(flow.target)
-        # A late copy: only the target that holds the flow may answer it.
+        # A delayed duplicate: only the target that holds the flow may answer.
         return [Forward(segment, entry, flow.tag)] if entry else []
     is_opening = flow is not None and flow.phase is Phase.OPENING
     if is_opening and now_ms - flow.tried_ms < OPENING_TIMEOUT_MS:
-        # Its answer may be under way; copies come together after a stall.
+        # The answer may be in flight; duplicates arrive together after a
+        # stall.
         return []
     if not is_opening:
         flow = _add_flow(state, segment, route, Phase.OPENING, now_ms)
@@ -176,7 +176,7 @@
 
 
 def _place_flow(state, segment, flow, now_ms):
-    """Send an opening to a target that it has not been sent to yet."""
+    """Send an opening to a target that has not been tried for it."""
     service = flow.route.shares[0].service
     if len(flow.route.shares) > 1:
         service = _choose_service(state, flow.route)
@@ -202,10 +202,10 @@
 
 
 def _choose_service(state, route):
-    """Return a service of a route, by weight, in fixed turns."""
+    """Return a service of a route by weighted round robin."""
     total = sum(share.weight for share in route.shares)
     state.turn += 1
-    # The golden ratio spreads turns evenly for any weights.
+    # Multiples of the golden ratio, modulo 1, are evenly distributed.
     point = (state.turn * 0.6180339887498949) % 1.0 * total
     for share in route.shares:
         point -= share.weight
@@ -215,20 +215,20 @@
 
 
 def _handle_unplaceable(state, segment, flow, now_ms):
-    """Decide on an opening that no further target can take."""
+    """Handle an opening that no other target can take."""
     if not state.has_targets:
         return _enqueue(state, segment, now_ms)
     if may_open(state, flow.target, now_ms):
         return _resend_opening(state, segment, flow, now_ms)
     if flow.tried and segment is flow.opening:
-        # Its client has not asked again: an answer may be under way.
+        # The client has not retransmitted: an answer may be in flight.
         return []
     end_flow(state, flow, now_ms)
     return [_make_refuse(segment, RefusalReason.NO_TARGET)]
 
 
 def _resend_opening(state, segment, flow, now_ms):
-    """Send an opening once more to the target that got it last."""
+    """Send an opening again to the target that received it last."""
     entry = state.tags.entries[flow.target]
     load = load_of(state, flow.target)
     state.pool(entry.service).note_opening(load, now_ms)
@@ -236,11 +236,11 @@
     return [Forward(segment, entry, flow.tag)]
 
 
-# Segments of flows that are open, or seem so.
+# Segments after the opening.
 
 
 def _adopt_flow(state, segment, route, now_ms):
-    """Take over a flow that another balancer saw so far."""
+    """Add a flow that another balancer has forwarded so far."""
     entry = _find_by_tag(state, segment, route)
     if entry is None:
         return _handle_unknown_tag(state, segment, now_ms)
@@ -281,7 +281,7 @@
         reason = RefusalReason.TARGET_DEAD
         return [*actions, _make_refuse(segment, reason, flow.target)]
     elif state.health.is_dead(flow.target):
-        # Found dead a while ago: it may be back, so it is asked again.
+        # The proof has expired: probe again, since it may have recovered.
         actions.append(
             TargetUnresponsive(
                 flow.target, now_ms, EvidenceKind.RETURN, flow.key
@@ -292,7 +292,7 @@
 
 
 def _confirm_target(state, segment, flow, now_ms):
-    """Pin a flow to the target that its client chose."""
+    """Pin a flow to the target whose answer its client accepted."""
     flow.phase = Phase.OPEN
     flow.opening = None
     flow.sent = segment.sequence
@@ -313,7 +313,7 @@
     ]
 
 
-# Segments that wait for knowledge.
+# Segments that wait for routes or targets.
 
 
 @message
@@ -332,7 +332,10 @@
 
 
 def _retry_pending(state, now_ms):
-    """Decide anew on what waited; what is unknown still waits on."""
+    """Handle pending segments again.
+
+    Those whose target or route is still unknown keep their deadline.
+    """
     waiting = list(state.pending)
     state.pending.clear()
     actions = []
@@ -343,12 +346,15 @@
             state.pending[-1] = pending
         flow = state.flows.get(pending.segment.flow)
         if flow is not None:
-            # Its client may have given up; then no answer means nothing.
+            # The client may have given up, so a missing answer is no
+            # evidence against the target.
             flow.opening = None
-    return [one for one in actions if not isinstance(one, TargetsNeeded)]
+    return [
+        action for action in actions if not isinstance(action, TargetsNeeded)
+    ]
 
 
-# What changes in routes and targets.
+# Changes of routes and targets.
 
 
 def _update_routes(state, event):
@@ -367,7 +373,7 @@
 
 
 def _evacuate(state, event):
-    """Place no flows in some domains; open ones stay, and are served."""
+    """Place no new flows in evacuated domains; open flows continue."""
     state.evacuated = event.domains
     state.slots.clear()
     for pool in state.pools.values():
@@ -400,11 +406,12 @@
 
 
 def _handle_restart(state, entry, now_ms):
-    """A target started anew under its name: nothing of before holds.
+    """End the flows of a target that restarted under the same name.
 
-    It resets what it gets of a flow that it does not hold.  So it is sent
-    again what it got last of each request that its clients wait for in vain;
-    flows that opened since its start are not harmed by that.
+    The target resets segments of flows that it doesn't hold. To make it
+    reset the clients that wait for an answer, the last segment of each
+    request in progress is sent to it again. Flows opened since the restart
+    are not affected.
     """
     state.health.forget(entry.name)
     state.pool(entry.service).remove(entry.name)
@@ -444,7 +451,7 @@
 
 
 def _add_retired(state, event):
-    """Find the flows of a target that was gone before this one started."""
+    """Add the tags of a target that ended before this balancer started."""
     name = event.entry.name
     if name not in state.tags.entries:
         state.tags.add(event.entry)
@@ -470,7 +477,7 @@
     return actions
 
 
-# Time.
+# Timers.
 
 
 def _tick(state, now_ms):
@@ -500,7 +507,7 @@
 
 
 def _handle_unanswered(state, flow, now_ms):
-    """An opening got no answer in time: try another target."""
+    """Report the tried targets as unresponsive and try another one."""
     is_waiting = flow.phase is Phase.OPENING and flow.opening is not None
     if not is_waiting or state.flows.get(flow.key) is not flow:
         return []
@@ -511,21 +518,21 @@
             pool = state.pool(entry.service)
             pool.avoid(name, now_ms + AVOID_MS)
         for_ms = now_ms - flow.opened_ms
-        silent = TargetUnresponsive(
+        evidence = TargetUnresponsive(
             name, now_ms, EvidenceKind.OPENING, flow.key, for_ms
         )
-        actions.append(silent)
+        actions.append(evidence)
     if len(flow.tried) < MAX_TRIED_TARGETS:
         actions += _place_flow(state, flow.opening, flow, now_ms)
     return actions
 
 
 def _find_stalls(state, gap_ms, now_ms):
-    """Avoid targets that give no answer; others shall hear of it."""
+    """Avoid targets with stalled requests and return the stalls."""
     is_evidence = gap_ms <= MAX_TICK_GAP_MS and not state.health.is_link_busy
     stalled = state.stalls.find(now_ms, is_evidence)
-    for one in stalled:
-        state.pool(one.service).avoid(one.target, now_ms + AVOID_MS)
+    for stall in stalled:
+        state.pool(stall.service).avoid(stall.target, now_ms + AVOID_MS)
     return stalled
 
 
@@ -538,7 +545,7 @@
 
 
 def _sweep(state, now_ms):
-    """Forget flows that ended or rested too long, and old targets."""
+    """Remove closed and idle flows, and expired retired targets."""
     idle_ms = state.table.idle_limit_ms if state.table else PENDING_TIMEOUT_MS
     for flow in list(state.flows.values()):
         limit_ms = idle_ms
--- a/src/liftmount/_internal/decisions/link_monitor.py
+++ b/src/liftmount/_internal/decisions/link_monitor.py
@@ -1,44 +1,40 @@
-"""How busy the own link is, from the bytes that it carries.
+"""Estimate of whether this balancer's link is busy, from the bytes on it.
 
-Answers the load of many clients that send much at once through a small
-balancer: what it sends and expects then waits at its link, and silence of
-others says little.  A link that was full a moment ago has a queue that
-cannot be seen from here, so it counts as busy for some time after.
+When clients send bursts through a small balancer, packets queue at its link,
+and missing answers of targets are no evidence. The queue can't be observed
+from here, so a link that was full counts as busy for some time afterwards.
 """
 
 from attrs import define
 from attrs import Factory
 
-# Head of an IP and of a UDP packet, which the link carries with each one.
+# IPv4 and UDP headers of a packet.
 HEADER_BYTES = 28
 # Bytes that a link of 1 Mbit/s carries in a millisecond.
 BYTES_PER_MEGABIT = 125
-# Part of its rate from which on a link fills: what comes in bursts waits
-# before the whole rate is used.
+# Share of the link rate above which packets queue: bursts queue before the
+# whole rate is used.
 USABLE_SHARE = 0.8
-# Work beyond that share that makes the link busy.  A probe over a free
-# link takes some 6 ms, and an answer to it may wait as long each way.
+# Queue that makes the link busy.
 MAX_QUEUED_MS = 15
-# What waited when the last packet came has passed the link by then: a
-# client has up to 16 packets of 1,232 bytes under way, 80 ms at 2 Mbit/s,
-# each way.
+# The link counts as busy this long, until its queue has drained both ways.
 BUSY_HOLD_MS = 160
-# A transfer of this size beside the packets fills a slow link at once.
+# A transfer of this size outside the packet path makes the link busy.
 BULK_BYTES = 8_192
-# Answers of one page arrive at once on a link that is free.
+# So does a transfer that takes this long, since the link is not free.
 BULK_LASTS_MS = 30
 BULK_MS = 1_000
 
 
 @define
 class _Direction:
-    """Bytes beyond the part of the rate that is free, as time."""
+    """Estimated queue of one direction, in transmission time."""
 
     queued_ms: float = 0.0
     seen_ms: int = 0
 
     def add(self, takes_ms: float, now_ms: int) -> float:
-        """Add what a packet takes; return how long all of it takes."""
+        """Add the transmission time of a packet and return the queue."""
         elapsed_ms = now_ms - self.seen_ms
         self.seen_ms = now_ms
         self.queued_ms = max(0.0, self.queued_ms - elapsed_ms) + takes_ms
@@ -47,10 +43,10 @@
 
 @define
 class LinkMonitor:
-    """The link of this balancer, each way; one of rate 0 never fills.
+    """The link of this balancer; with a rate of 0 it is never busy.
 
     ``busy_until_ms`` is when it counts as free again, ``times_busy`` how
-    often it filled.
+    often it became busy.
     """
 
     megabits_per_s: float = 0.0
@@ -60,15 +56,15 @@
     times_busy: int = 0
 
     def is_busy(self, now_ms: int) -> bool:
-        """Tell whether what passes the link may wait there."""
+        """Tell whether packets may queue at the link."""
         return now_ms < self.busy_until_ms
 
     def received(self, size_bytes: int, now_ms: int) -> None:
-        """Note a packet that came."""
+        """Record a received packet."""
         self._account(self.inbound, size_bytes, now_ms)
 
     def sent(self, size_bytes: int, now_ms: int) -> None:
-        """Note a packet that went."""
+        """Record a sent packet."""
         self._account(self.outbound, size_bytes, now_ms)
 
     def _account(self, direction, size_bytes, now_ms):
@@ -82,7 +78,7 @@
     def transferred(
         self, size_bytes: int, lasted_ms: int, now_ms: int
     ) -> None:
-        """Note what was carried beside packets, and for how long."""
+        """Record a transfer outside the packet path and its duration."""
         if size_bytes >= BULK_BYTES or lasted_ms >= BULK_LASTS_MS:
             self._mark_busy(now_ms + BULK_MS, now_ms)
 
--- a/src/liftmount/_internal/decisions/overflow.py
+++ b/src/liftmount/_internal/decisions/overflow.py
@@ -1,9 +1,9 @@
-"""When a failure domain hands its clients to other domains.
+"""Overflow: when a failure domain hands its clients over to other domains.
 
-A domain that is cut off from the others serves its clients by its own
-targets.  If these can't carry the load, its balancers say that they are
-not ready, and the fabric brings the clients to other domains, whose
-targets can.  They come back when the cut has healed.
+A domain that a network partition cuts off serves its clients with its own
+targets. If these can't carry the load, its balancers fail their readiness
+check, and the fabric routes the clients to other domains. The clients are
+taken back when the partition has healed.
 """
 
 from attrs import define
@@ -11,14 +11,14 @@
 from liftmount._internal.models.records import Message
 from liftmount._internal.models.records import message
 
-# Part of its slots that a domain's load may take before it counts as short:
-# with three slots above it requests wait longer than they take.
+# Share of the local slots above which the domain is overloaded: beyond it
+# requests queue for longer than they take.
 MAX_LOAD_SHARE = 0.75
-# Part of the other domains' slots that answers at most while cut off, and
-# at least when the cut has healed.
+# Share of the remote slots that respond: at most while cut off, and at least
+# after the partition has healed.
 MAX_CUT_ALIVE_SHARE = 0.1
 MIN_HEALED_ALIVE_SHARE = 0.5
-# How long a cut must be seen before it counts, and its end: a few probes.
+# How long a partition, or its end, must be observed; covers a few probes.
 CUT_CONFIRM_MS = 500
 HEALED_CONFIRM_MS = 1_000
 
@@ -27,10 +27,10 @@
 class DomainLoad(Message):
     """The load of one service, in slots, as one balancer sees it.
 
-    ``demand_slots`` is what the whole domain's clients keep busy;
-    ``local_slots`` are those of its own targets that answer.
-    ``remote_slots`` are those of other domains, ``remote_alive_slots`` what of
-    them answers.
+    ``demand_slots`` is what the clients of the whole domain occupy;
+    ``local_slots`` are those of its own targets that respond.
+    ``remote_slots`` are those of other domains, and ``remote_alive_slots``
+    the ones of these that respond.
     """
 
     demand_slots: float
@@ -41,10 +41,10 @@
 
 @message
 class DomainObserved(Message):
-    """The load of each service; ``is_isolated`` if no far member lives.
+    """The load of each service; ``is_isolated`` if no remote member is live.
 
-    ``remote_progress_ms`` is when a flow to another domain's target last showed
-    progress: then it was a target that failed and not the way there.
+    ``remote_progress_ms`` is when a flow to a remote target last showed
+    progress: recent progress means that targets failed and not the path.
     """
 
     loads: tuple[DomainLoad, ...]
@@ -55,7 +55,7 @@
 
 @message
 class OverflowChanged(Message):
-    """The domain's clients are handed over, or taken back."""
+    """The domain's clients are handed over or taken back."""
 
     is_handed_over: bool
     reason: str
@@ -63,7 +63,7 @@
 
 @define
 class OverflowState:
-    """Since when the domain seems cut off, or healed; None if it isn't."""
+    """Times since when the domain is cut off or healed; None if it isn't."""
 
     is_handed_over: bool = False
     cut_since_ms: int | None = None
@@ -71,7 +71,7 @@
 
 
 def decide(state: OverflowState, event: DomainObserved) -> list:
-    """Return an OverflowChanged when the state changes."""
+    """Return an OverflowChanged if the state changes."""
     _note_cut(state, event)
     if state.is_handed_over:
         return _check_healed(state, event.now_ms)
@@ -95,10 +95,10 @@
 
 
 def _cut_loads(event):
-    """Return the loads that no other domain's targets can help with.
+    """Return the loads of services that are cut off from remote targets.
 
-    A service that sends few flows abroad notices a cut late, so each
-    service counts for itself.
+    Services are assessed one by one, since one that sends few flows to
+    other domains notices a partition late.
     """
     if event.now_ms - event.remote_progress_ms < CUT_CONFIRM_MS:
         return []
@@ -114,7 +114,7 @@
 
 
 def _remote_alive_share(event):
-    """Return which part of the far slots answers."""
+    """Return the share of remote slots that respond."""
     remote = sum(load.remote_slots for load in event.loads)
     alive = sum(load.remote_alive_slots for load in event.loads)
     return alive / remote if remote else 1.0
@@ -147,6 +147,6 @@
 
 
 def _is_overloaded(load):
-    """Tell whether the own targets can't carry what others could."""
+    """Tell whether a service lacks local slots that others have."""
     is_loaded = load.demand_slots > MAX_LOAD_SHARE * load.local_slots
     return is_loaded and load.remote_slots > load.local_slots
--- a/src/liftmount/_internal/decisions/pool.py
+++ b/src/liftmount/_internal/decisions/pool.py
@@ -1,10 +1,9 @@
 """Placement: which target of a pool gets the next request or flow.
 
-The owner of a pool sees all of its load, so it equalises what the users
-call imbalance directly: work over true capacity is the time that a
-target's slots are busy.  The next request goes to the free target whose
-slots were least busy of late; slower targets are busier for longer, and
-so get less without anyone measuring their speed.
+The owner of a pool sees all of its load and balances utilization, the share
+of time that a target's slots are busy. The next request goes to the free
+target whose slots were least busy recently. Slower targets stay busy longer
+and so receive less, without a measurement of their speed.
 """
 
 from zlib import crc32
@@ -26,25 +25,23 @@
 MAX_EJECTION_MS = 30_000
 WEIGHT_REFRESH_MS = 250
 MAX_EJECTED_SHARE = 0.5
-# Beyond this share of its targets a service is slow, and not some of them.
+# With more stalled targets the service as a whole is slow.
 MAX_STALL_EJECTED_SHARE = 1 / 3
-# Beyond this many targets a sample is compared instead of all of them.
+# Of more targets than MAX_COMPARED, only SAMPLE_SIZE random ones are compared.
 MAX_COMPARED = 24
 SAMPLE_SIZE = 16
-# Weight of what runs now beside the fading share; breaks ties between
-# targets whose share is equal and spreads bursts.
+# Weight of requests in progress beside the decaying busy share; breaks ties
+# and distributes bursts.
 IN_PROGRESS_WEIGHT = 0.05
-# A target of the owner's own failure domain wins near ties.
+# Targets of the owner's failure domain win near ties.
 REMOTE_PENALTY = 0.002
-# Part of a full share that a target gets while it says that it warms up:
-# its work takes about 1.6 times as long meanwhile.
+# Share of its weight that a target has while it reports that it warms up.
 WARMING_SHARE = 0.6
-# Slots that a flow is expected to take, beside what runs now: one that is
-# open without a request, and one that is about to open.
+# Slots that a flow is expected to occupy: one that is open and idle, and one
+# that is about to open.
 OPEN_FLOW_SHARE = 0.02
 NEW_FLOW_SHARE = 0.25
-# Balancers that see equal targets must not all choose the same one, so
-# each leans a little, by up to this many slots, to some of them.
+# Largest offset to a target's load, in slots (``TargetLoad.lean``).
 MAX_BIAS_SLOTS = 0.15
 CRC_MASK = 2**32 - 1
 _LCG_FACTOR = 6364136223846793005
@@ -54,12 +51,12 @@
 
 @frozen
 class TargetInfo:
-    """What configuration and instance list say of a target.
+    """A target as described by configuration and instance list.
 
-    ``slots`` is how many requests it says it works on at once; 0 means
-    that this has to be learnt.  ``warm_up_ms`` is how much longer it says
-    it stays slow.  A ``last_choice`` gets work only when there is no
-    other target.
+    ``slots`` is the number of requests that it says it processes at once;
+    0 means that the limit has to be learnt. ``warm_up_ms`` is the remaining
+    warm-up time. A target with ``last_choice`` gets work only if there is
+    no other.
     """
 
     name: str
@@ -73,10 +70,10 @@
 
 @frozen
 class Start:
-    """The state of a target as a request was sent to it.
+    """The state of a target when a request was sent to it.
 
-    ``level`` counts those in progress, this one included; ``ended`` those
-    that had ended before.
+    ``level`` is the number of requests in progress, including this one;
+    ``ended`` is the number of those that had ended before.
     """
 
     level: int
@@ -85,7 +82,14 @@
 
 @define
 class TargetLoad:
-    """A target as its owner sees it."""
+    """The load of a target as observed by the owner of its pool.
+
+    ``busy`` is the decaying mean of slots in use. ``slots`` is 0 if the
+    target doesn't state them. ``weight`` is its share of flows relative to
+    other targets. ``lean`` is a constant offset to its load, in slots; it
+    differs by balancer, so that balancers with equal views choose different
+    targets.
+    """
 
     name: str
     failure_domain: str
@@ -108,7 +112,7 @@
     lean: float = 0.0
 
     def ramp(self, now_ms: int) -> float:
-        """Return the share of new flows due to a target that is new."""
+        """Return the share of its weight that a new target has, up to 1."""
         if self.slots:
             return WARMING_SHARE if now_ms < self.warm_until_ms else 1.0
         age_ms = now_ms - self.added_ms
@@ -119,11 +123,12 @@
 class Pool:
     """The targets of one pool; ``failure_domain`` is that of the owner.
 
-    ``remote_penalty`` is the part of its weight that a target of another
-    failure domain loses; ``fade_ms`` is how fast its busy share fades.
-    ``busy`` and ``in_progress`` are those of all targets together.
-    Targets in the failure domains ``closed`` get nothing new, and cold
-    ones what the budget ``cold`` allows, if there is one.
+    ``remote_penalty`` is the share of its weight that a target of another
+    failure domain loses; ``fade_ms`` is the decay time of busy shares.
+    ``busy`` and ``in_progress`` are totals over all targets. Targets in the
+    failure domains ``closed`` get no new work. ``cold`` limits new flows to
+    cold targets, those that warm up; None means no limit. ``panics`` counts
+    how often ejections were ignored.
     """
 
     key: str
@@ -147,7 +152,7 @@
     _reference_until_ms: int = 0
 
     def update(self, infos, now_ms: int) -> None:
-        """Take over the targets that configuration lists."""
+        """Replace the targets by those that the configuration lists."""
         wanted = {info.name: info for info in infos}
         for name in set(self.targets) - set(wanted):
             self.remove(name)
@@ -155,7 +160,7 @@
             self.put(info, now_ms)
 
     def put(self, info: TargetInfo, now_ms: int) -> None:
-        """Add a target, or take over what is said of it anew."""
+        """Add a target, or update a known one."""
         self._invalidate_usable()
         known = self.targets.get(info.name)
         if known is None:
@@ -177,7 +182,7 @@
             self.cold.forget(target.name)
 
     def remove(self, name: str) -> None:
-        """Forget a target."""
+        """Remove a target."""
         self._invalidate_usable()
         target = self.targets.pop(name, None)
         if target is not None:
@@ -186,10 +191,10 @@
             self.cold.forget(name)
 
     def _make_load(self, info, now_ms):
-        # A newcomer counts as busy as the others, or it would be flooded.
+        # Starting at the mean load keeps a new target from being flooded.
         busy = self.mean_busy(now_ms)
         share = BusyShare(self.fade_ms, busy, now_ms)
-        # The first targets of a pool have nobody to be compared with.
+        # The first targets of a pool start at their full share.
         added_ms = now_ms if self.targets else now_ms - RAMP_MS
         limit = info.slots or INITIAL_LIMIT
         return TargetLoad(
@@ -209,10 +214,9 @@
         return MAX_BIAS_SLOTS * mixed / CRC_MASK
 
     def seen(self, name: str, incarnation: int, now_ms: int) -> None:
-        """Note the incarnation that a target gave when it was met.
+        """Record the incarnation that a target reported.
 
-        A target under a new incarnation starts afresh: what its
-        predecessor could carry says nothing about it.
+        A new incarnation resets the target's load and capacity.
         """
         target = self.targets.get(name)
         if target is None or target.incarnation == incarnation:
@@ -228,11 +232,11 @@
         self._invalidate_usable()
 
     def demand(self, now_ms: int) -> float:
-        """Return how many slots were in use of late, over all targets."""
+        """Return the recent mean of slots in use, over all targets."""
         return self.busy.update(self.in_progress, now_ms)
 
     def mean_busy(self, now_ms: int) -> float:
-        """Return how many slots of a target were in use, on average."""
+        """Return the recent mean of slots in use per target."""
         if not self.targets:
             return 0.0
         return self.demand(now_ms) / len(self.targets)
@@ -240,8 +244,8 @@
     def usable(self, now_ms: int) -> list[TargetLoad]:
         """Return the targets that may get new work.
 
-        When more than half would be ejected, the fault is more likely on
-        this side, and ejections are ignored (panic).  The list holds
+        When more than half would be ejected, ejections are ignored (panic
+        mode), since the fault is more likely local. The list is cached
         until a target changes or the next ejection ends.
         """
         if self._usable is None or now_ms >= self._usable_until_ms:
@@ -249,12 +253,12 @@
         return self._usable
 
     def may_take(self, target: TargetLoad) -> bool:
-        """Tell whether a target may get anything new, whatever its state."""
+        """Tell whether a target may get new work, regardless of its health."""
         is_closed = target.failure_domain in self.closed
         return not (target.leaving or is_closed)
 
     def may_open(self, target: TargetLoad, now_ms: int) -> bool:
-        """Tell whether a target may get the opening of a flow now."""
+        """Tell whether a target may receive the opening of a flow now."""
         if not self.may_take(target):
             return False
         if self.cold is None or now_ms >= target.warm_until_ms:
@@ -262,15 +266,15 @@
         return self.cold.may_take(target.name, now_ms)
 
     def note_opening(self, target: TargetLoad, now_ms: int) -> None:
-        """Note that a target gets the opening of a flow."""
+        """Record an opening sent to a target."""
         if self.cold is not None and now_ms < target.warm_until_ms:
             self.cold.spend(target.name, now_ms)
 
     def close_domains(self, domains: frozenset[str], now_ms: int) -> None:
-        """Give nothing new to the targets of these domains, and no others.
+        """Set the failure domains whose targets get no new work.
 
-        Where a service states what a cold target bears, those of a domain
-        that is taken back count as cold: that they are may be heard later.
+        With a slow start budget, the targets of a domain that is no longer
+        closed start slowly: their own report of a warm-up may arrive later.
         """
         returned = self.closed - domains
         self.closed = domains
@@ -284,7 +288,7 @@
                 self._set_warm_until(target, until_ms, now_ms)
 
     def _usable_in(self, domains, now_ms):
-        """Return the usable targets in some failure domains, None for all."""
+        """Return the usable targets in failure domains; None for all."""
         usable = self.usable(now_ms)
         if domains is None:
             return usable
@@ -321,14 +325,14 @@
         return healthy
 
     def avoid(self, name: str, until_ms: int) -> None:
-        """Give a target no new work for a while, if others can take it."""
+        """Give a target no new work until a time, if others can take it."""
         target = self.targets.get(name)
         if target is not None:
             target.ejected_until_ms = max(target.ejected_until_ms, until_ms)
             self._invalidate_usable()
 
     def eject(self, name: str, until_ms: int, now_ms: int) -> None:
-        """Give a target no new work, unless too many get none already."""
+        """Eject a target until a time, unless too many are ejected already."""
         avoided = sum(
             now_ms < target.ejected_until_ms
             for target in self.targets.values()
@@ -337,8 +341,10 @@
         if avoided + 1 <= MAX_STALL_EJECTED_SHARE * len(self.targets):
             self.avoid(name, until_ms)
 
+    hold_out = eject  # Former name, kept for embedders.
+
     def set_last_choice(self, name: str, is_last: bool) -> None:
-        """Give a target work only when there is no other, or as usual."""
+        """Set whether a target gets work only if there is no other."""
         target = self.targets.get(name)
         if target is not None:
             target.last_choice = is_last
@@ -348,7 +354,7 @@
         self._usable = None
 
     def choose(self, now_ms: int, avoid=()) -> TargetLoad | None:
-        """Return the target for one request, or None when all are full."""
+        """Return the target for a request, or None if all are full."""
         usable = self._sample(self.usable(now_ms))
         allowed = usable
         if avoid:
@@ -360,7 +366,7 @@
             if target.in_progress < target.capacity.usable_limit(prior)
         ]
         if not free:
-            # Work waits and all are full: the time to learn more.
+            # All targets are full: try to raise a limit.
             free = [
                 target for target in allowed if _may_try(target, prior, now_ms)
             ]
@@ -370,12 +376,12 @@
 
     @staticmethod
     def _prior_limit(targets):
-        """Return the limit that the upper quarter of the targets proved."""
+        """Return the upper quartile of the targets' learnt limits."""
         limits = sorted(target.capacity.limit for target in targets)
         return limits[len(limits) * 3 // 4] if limits else INITIAL_LIMIT
 
     def choose_for_stream(self, now_ms: int, avoid=()) -> TargetLoad | None:
-        """Return the target for a long flow: fewest for its weight."""
+        """Return the target for a long flow: fewest streams per weight."""
         usable = self.usable(now_ms)
         return self._choose_least(usable, now_ms, avoid, _stream_load)
 
@@ -384,10 +390,10 @@
     ) -> TargetLoad | None:
         """Return the target for a flow of unknown length.
 
-        What runs now and ran of late counts most: flows differ so much in
-        what they ask that a new target which has few of them would be
-        flooded if they were only counted.  Its failure domain is one of
-        ``domains``, unless these are None.
+        Current and recent work counts more than the number of flows: flows
+        differ in load, and a new target with few of them would be flooded.
+        The target's failure domain is one of ``domains`` unless that is
+        None. Returns None if no target may take the flow.
         """
         usable = self._usable_in(domains, now_ms)
         if self.cold is not None and now_ms < self._cold_until_ms:
@@ -399,7 +405,7 @@
         )
 
     def _choose_least(self, usable, now_ms, avoid, cost):
-        """Return the target of the least cost, weights up to date."""
+        """Refresh weights and return the target of the least cost."""
         usable = self._sample(usable)
         if avoid:
             usable = [target for target in usable if target.name not in avoid]
@@ -407,7 +413,7 @@
             return None
         if now_ms >= self._reference_until_ms:
             self._reference_until_ms = now_ms + WEIGHT_REFRESH_MS
-            # Where latencies are not seen there is nothing to compare.
+            # Targets without observed latencies can't be compared.
             seen = [target for target in usable if target.capacity.latencies]
             self._reference_ms = self._mean_latency_ms(seen)
         for target in usable:
@@ -416,7 +422,7 @@
         return min(usable, key=cost)
 
     def _update_weight(self, target, now_ms):
-        """Work out the weight of a target anew; it changes slowly."""
+        """Recompute the weight of a target."""
         target.weight_until_ms = now_ms + WEIGHT_REFRESH_MS
         weight = stream_weight(target, self._reference_ms) * target.ramp(
             now_ms
@@ -454,7 +460,7 @@
         return {key: sum(v) / len(v) for key, v in means.items()}
 
     def started(self, name: str, now_ms: int) -> Start:
-        """Note a request sent to a target."""
+        """Record a request sent to a target."""
         target = self.targets[name]
         target.busy.update(target.in_progress, now_ms)
         target.in_progress += 1
@@ -463,7 +469,7 @@
         return Start(target.in_progress, target.ended)
 
     def finished(self, name: str, now_ms: int) -> TargetLoad | None:
-        """Note the end of a request; None when the target is gone."""
+        """Record the end of a request; return None if the target is gone."""
         target = self.targets.get(name)
         if target is None:
             return None
@@ -476,14 +482,14 @@
         return target
 
     def succeeded(self, name: str) -> None:
-        """Note that a target answered."""
+        """Record an answer of a target."""
         target = self.targets.get(name)
         if target is not None:
             target.failures = 0
             target.ejections = 0
 
     def failed(self, name: str, now_ms: int) -> None:
-        """Note silence or a broken connection; may eject the target."""
+        """Record a timeout or a broken connection; may eject the target."""
         target = self.targets.get(name)
         if target is None or now_ms < target.ejected_until_ms:
             return
@@ -495,7 +501,7 @@
         target.ejected_until_ms = now_ms + length_ms
         self._invalidate_usable()
         target.ejections += 1
-        # One more failure after the return ejects again, for longer.
+        # The next failure ejects it again, for longer.
         target.failures = FAILURES_TO_EJECT - 1
 
     def wait_ms(self, ahead: int, now_ms: int) -> float:
@@ -509,7 +515,7 @@
         return ahead / rate_per_ms if rate_per_ms else 0.0
 
     def latency_ms(self, service: str) -> float:
-        """Return the least mean latency of a service; 0 when unknown."""
+        """Return the least mean latency of a service; 0 if unknown."""
         found = [
             target.capacity.latency_ms(service)
             for target in self.targets.values()
@@ -519,7 +525,7 @@
 
 
 def flow_cost(target: TargetLoad, now_ms: int) -> float:
-    """Return how loaded a target would be with one more flow."""
+    """Return the weighted load that a target would have with one more flow."""
     busy = target.busy.update(target.in_progress, now_ms)
     idle = OPEN_FLOW_SHARE * target.open_streams
     work = target.in_progress + busy + idle + NEW_FLOW_SHARE
@@ -531,7 +537,7 @@
 
 
 def _may_try(target, prior, now_ms) -> bool:
-    """Tell whether one request above the limit may be tried."""
+    """Tell whether a target may get one request above its limit."""
     level = target.capacity.usable_limit(prior) + 1
     if target.in_progress + 1 != level:
         return False
@@ -539,9 +545,9 @@
 
 
 def stream_weight(target: TargetLoad, reference_ms: dict) -> float:
-    """Return how many flows a target deserves beside its peers.
+    """Return a target's share of flows relative to its peers.
 
-    The weight is its limit times its speed, where known.
+    The weight is its limit times its relative speed, where known.
     """
     speeds = [
         reference_ms[service] / latency.mean_ms
--- a/src/liftmount/_internal/decisions/stalls.py
+++ b/src/liftmount/_internal/decisions/stalls.py
@@ -1,11 +1,10 @@
-"""Which targets take a request and give no answer.
-
-Answers the load of a service some of whose targets hang: they say that they
-are well, and a request sent to one costs its client all the time that it
-has.  A balancer sees a request begin by its data, and its answer by what the
-client acknowledges.  A wait several times as long as answers take now, learnt
-by service, is a stall; the target is avoided for new flows, and nothing is
-reset for it.
+"""Detection of targets that accept requests and don't answer them.
+
+Such targets pass their health checks, but requests sent to them run into
+their clients' timeouts. A balancer sees a request begin by its data, and its
+answer by what the client acknowledges. A request that waits several times
+the service's mean answer time is a stall. New flows avoid the target; open
+flows are not reset.
 """
 
 from collections import deque
@@ -16,20 +15,19 @@
 from liftmount._internal.models.records import Message
 from liftmount._internal.models.records import message
 
-# A wait this many times as long as the mean answer takes is none that
-# follows from the spread of work: its longest tenth takes some three times.
+# Multiple of the mean answer time after which a request is stalled.
 STALL_FACTOR = 8
-# Bounds of such a wait.  Clients send again after 200 ms what was lost, and
-# give up after some seconds.
+# Bounds of that wait: above the clients' retransmission timeout (200 ms) and
+# below their request timeout.
 MIN_STALL_MS = 250
 MAX_STALL_MS = 1_500
-# Weight of a new answer in the mean: some twenty of them turn it over.
+# Weight of a new answer in the exponential moving average.
 ANSWER_WEIGHT = 0.05
 
 
 @message
 class Stalled(Message):
-    """A request to a target waits for ``waited_ms`` without an answer."""
+    """A request to a target has had no answer for ``waited_ms``."""
 
     target: str
     service: str
@@ -40,7 +38,7 @@
 
 @define
 class _PendingRequest:
-    """A request of a flow, since ``began_ms``."""
+    """A request of a flow that began at ``began_ms``."""
 
     flow: object
     began_ms: int
@@ -48,16 +46,16 @@
 
 @define
 class _ServiceRequests:
-    """Requests of one service, in the order in which they began.
+    """Requests of one service in the order in which they began.
 
-    ``mean_ms`` is what an answer takes, 0 while none has come.
+    ``mean_ms`` is the mean answer time, 0 before the first answer.
     """
 
     mean_ms: float = 0.0
     waiting: deque = Factory(deque)
 
     def limit_ms(self) -> float:
-        """Return after how long a request without an answer is a stall."""
+        """Return the wait after which a request is stalled."""
         if not self.mean_ms:
             return MAX_STALL_MS
         return min(
@@ -67,20 +65,23 @@
 
 @define
 class StallWatch:
-    """Requests that wait for an answer, by service."""
+    """Requests that wait for an answer, by service.
+
+    A flow has ``key``, ``target``, ``is_working`` and ``working_ms``.
+    """
 
     services: dict[str, _ServiceRequests] = Factory(dict)
 
     def began(self, service: str, flow, now_ms: int) -> None:
-        """Note that a flow sent new data of a request."""
+        """Record that a flow sent new data of a request."""
         self._service(service).waiting.append(_PendingRequest(flow, now_ms))
 
     def answered(self, service: str, took_ms: int) -> None:
-        """Note that an answer came."""
-        one = self._service(service)
-        if not one.mean_ms:
-            one.mean_ms = max(1.0, took_ms)
-        one.mean_ms += ANSWER_WEIGHT * (took_ms - one.mean_ms)
+        """Record the time that an answer took."""
+        requests = self._service(service)
+        if not requests.mean_ms:
+            requests.mean_ms = max(1.0, took_ms)
+        requests.mean_ms += ANSWER_WEIGHT * (took_ms - requests.mean_ms)
 
     def _service(self, name):
         found = self.services.get(name)
@@ -91,26 +92,26 @@
     def find(self, now_ms: int, is_evidence: bool) -> list[Stalled]:
         """Return the requests that have become stalls.
 
-        They are dropped without being ``is_evidence`` where the wait may be
-        this balancer's own.
+        Without ``is_evidence``, overdue requests are dropped and not
+        returned, since this balancer may have caused the delay itself.
         """
         found = []
         for name, service in self.services.items():
             began_by_ms = now_ms - service.limit_ms()
             waiting = service.waiting
             while waiting and waiting[0].began_ms <= began_by_ms:
-                one = waiting.popleft()
-                if is_evidence and _still_waits(one):
-                    found.append(_make_stalled(name, one, now_ms))
+                request = waiting.popleft()
+                if is_evidence and _still_waits(request):
+                    found.append(_make_stalled(name, request, now_ms))
         return found
 
 
-def _still_waits(one):
-    flow = one.flow
-    return flow.is_working and flow.working_ms == one.began_ms
+def _still_waits(request):
+    flow = request.flow
+    return flow.is_working and flow.working_ms == request.began_ms
 
 
-def _make_stalled(service, one, now_ms):
-    flow = one.flow
-    waited_ms = now_ms - one.began_ms
+def _make_stalled(service, request, now_ms):
+    flow = request.flow
+    waited_ms = now_ms - request.began_ms
     return Stalled(flow.target, service, flow.key, waited_ms, now_ms)
--- a/src/liftmount/_internal/decisions/target_health.py
+++ b/src/liftmount/_internal/decisions/target_health.py
@@ -1,17 +1,17 @@
-"""Whether targets can be reached, judged by what clients send.
-
-A balancer sees only the client's half of a flow.  An opening segment that
-nothing follows, or data sent again with no acknowledgement since, speaks
-against the target; so does a lost packet or a full target.  Such evidence
-only starts probes.  A probe is a connection to the target's health check
-over the same links.  Several are sent one soon after the other; a target
-is dead when none of them gets an answer, and alive at any answer.  A dead
-target is probed again at growing intervals.
-
-While the own link is busy, silence is no proof.  A target that is silent
-then is suspected: it gets new flows only when there is no other, keeps the
-ones it has, and is probed on until it answers or is proven dead over a link
-that is free.
+"""Health of targets, from passive evidence and active probes.
+
+A balancer sees only the client's half of a flow. An opening that no segment
+follows, or retransmitted data without a new acknowledgement, may mean that
+the target is dead, but also a lost packet or an overloaded target. Such
+evidence only starts probes. A probe is a connection to the target's health
+check over the same links. Several are sent in short succession: a target is
+dead if none of them is answered, and alive at any answer. A dead target is
+probed again with exponential backoff.
+
+A probe that times out while the local link is busy proves nothing. The
+target is suspected then: it keeps its flows, gets new ones only if there is
+no other target, and is probed until it answers or is proven dead over a
+free link.
 """
 
 from enum import Enum
@@ -23,38 +23,34 @@
 from liftmount._internal.models.records import message
 from liftmount._internal.models.records import Tick
 
-# Silent probes that make a target dead.  On a link that loses 3 % of the
-# packets each way, four are lost once in 80,000 times.
+# Unanswered probes after which a target is dead; packet loss alone must not
+# cause that.
 PROBES_TO_DEAD = 4
-# Time between these probes: a verdict takes 60 ms more than one probe, and
-# a target that lives has mostly answered before a second one is sent.
+# Interval between these probes; a live target mostly answers within it.
 PROBE_GAP_MS = 20
-# How long a flow must have waited to speak against a target while the own
-# link is busy: clients send again after 200 ms what waited there.
+# How long a flow must have waited to count as evidence while the local link
+# is busy; covers one retransmission of a client (200 ms).
 BUSY_LINK_MIN_WAIT_MS = 250
-# Intervals between probes of a suspected target while the link is busy.
+# Backoff between probes of a suspected target while the link is busy.
 INITIAL_SUSPECT_INTERVAL_MS = 250
 MAX_SUSPECT_INTERVAL_MS = 1_000
-# Intervals between probes of a dead target; a probe costs as much as a
-# tenth of a request, an outage lasts some seconds.
+# Backoff between probes of a dead target.
 INITIAL_DEAD_INTERVAL_MS = 700
 MAX_DEAD_INTERVAL_MS = 2_500
-# How long a silent probe proves that a target is dead, where a flow would
-# be reset for it.  A cut that heals makes an older proof wrong; the next
-# probe of the target takes 100 ms, a client sends again after 200 ms.
+# How long an unanswered probe proves that a target is dead when a flow would
+# be reset; the target or a network partition may have recovered since.
 PROOF_VALID_MS = 700
-# A target that gave a sign of life this recently is not probed: silence
-# towards one flow is then a lost packet or a full target.
+# A target that answered another flow this recently is not probed: a missing
+# answer then means a lost packet or an overloaded target.
 RECENT_ACTIVITY_MS = 30
-# How long an answered probe speaks for a target, at first and at most; it
-# doubles while flows go on to speak against it.  A target that is slow under
-# load is not dead, and probes are load.
+# How long a target isn't probed again after an answered probe. Doubles while
+# flows still yield evidence, so that a slow target isn't loaded by probes.
 INITIAL_TRUST_MS = 300
 MAX_TRUST_MS = 2_400
 
 
 class Condition(Enum):
-    """What is believed of a target."""
+    """Health state of a target."""
 
     ALIVE = 'alive'
     PROBED = 'probed'
@@ -65,11 +61,11 @@
 class ProbeResult(Enum):
     """How a probe ended.
 
-    ``REPLACED`` means that another target answered at the address, and
-    ``REFUSED`` that nobody listens there.  ``UNPROVEN`` is either of what
-    follows: silence while the own link was busy, or a refusal by a target
-    that may be finishing what it has.  ``VOID`` means that this balancer was
-    held up itself, so that silence says nothing.
+    ``SILENT`` is a timeout. ``REPLACED`` means that another target answered
+    at the address, ``REFUSED`` that the connection was refused. ``UNPROVEN``
+    is a timeout while the local link was busy, or a refusal by a target that
+    may be draining. ``VOID`` means that this balancer was delayed itself, so
+    that the result is no evidence.
     """
 
     ANSWERED = 'answered'
@@ -81,10 +77,10 @@
 
 
 class EvidenceKind(Enum):
-    """What speaks against a target.
+    """Kind of evidence that a target doesn't respond.
 
-    ``OPENING`` had no answer in time, ``DATA`` was sent again, and
-    ``RETURN`` is new data for a target that was found dead a while ago.
+    ``OPENING`` is an opening without an answer, ``DATA`` a retransmission,
+    and ``RETURN`` new data for a target whose proof of death has expired.
     """
 
     OPENING = 'opening'
@@ -94,7 +90,7 @@
 
 @message
 class TargetUnresponsive(Message):
-    """A flow gave evidence that a target does not answer.
+    """A flow yielded evidence that a target doesn't respond.
 
     ``for_ms`` is how long the flow has waited.
     """
@@ -108,7 +104,7 @@
 
 @message
 class TargetResponsive(Message):
-    """A flow showed that a target answers."""
+    """A flow yielded evidence that a target responds."""
 
     target: str
     now_ms: int
@@ -116,7 +112,7 @@
 
 @message
 class SendProbe(Message):
-    """Probe a target; ``sent_ms`` is when that was decided."""
+    """Probe a target; ``sent_ms`` is the time of this decision."""
 
     target: str
     sent_ms: int
@@ -124,14 +120,14 @@
 
 @message
 class LinkStateChanged(Message):
-    """Whether the own link is busy."""
+    """The local link became busy or free."""
 
     is_busy: bool
 
 
 @message
 class ProbeEnded(Message):
-    """A probe of a target ended that was sent at ``sent_ms``."""
+    """A probe of a target, sent at ``sent_ms``, ended."""
 
     target: str
     result: ProbeResult
@@ -141,9 +137,9 @@
 
 @message
 class ConditionChanged(Message):
-    """The belief about a target changed; ``probes`` led to it.
+    """The health of a target changed after ``probes`` unanswered probes.
 
-    One that is neither dead nor suspected is alive.
+    A target that is neither dead nor suspected is alive.
     """
 
     target: str
@@ -154,14 +150,14 @@
 
 @define
 class _Health:
-    """What is known of one target.
-
-    ``probing_since_ms`` is when the last doubt began, ``unanswered_probes`` counts
-    those sent since that got no answer, ``proofs`` those of them over a free
-    link, ``in_flight`` those that have not ended.  ``sent_ms`` and
-    ``last_proof_ms`` are when the last one was sent and when the last silent one
-    ended.  Until ``trusted_ms`` it is not doubted, after an answer that
-    spoke for it for ``trust_ms``.
+    """Health of one target.
+
+    ``probing_since_ms`` is the start of the current series of probes:
+    ``unanswered_probes`` of them ended without an answer, ``proofs`` of these
+    over a free link, and ``in_flight`` have not ended. ``sent_ms`` is when
+    the last one was sent, ``last_proof_ms`` when the last proof ended.
+    Until ``trusted_ms`` evidence is ignored, after an answered probe that
+    gained trust for ``trust_ms``.
     """
 
     condition: Condition = Condition.ALIVE
@@ -180,11 +176,11 @@
 
 @define
 class TargetHealth:
-    """Evidence on the targets that some flow spoke against.
+    """Health of the targets for which there has been evidence.
 
-    ``unhealthy`` are those that are not believed alive: only they need a
-    look at each tick.  ``is_link_busy`` tells whether silence may be that of
-    the own link.
+    ``unhealthy`` holds the targets that are not ALIVE; only these are
+    checked at a tick. ``is_link_busy`` tells whether missing answers may be
+    due to the local link.
     """
 
     targets: dict[str, _Health] = Factory(dict)
@@ -194,21 +190,21 @@
     is_link_busy: bool = False
 
     def is_dead(self, target: str) -> bool:
-        """Tell whether a target is believed dead."""
+        """Tell whether a target is considered dead."""
         return target in self.dead
 
     def is_avoided(self, target: str) -> bool:
-        """Tell whether new flows should rather go elsewhere."""
+        """Tell whether new flows should avoid a target."""
         return target in self.dead or target in self.suspected
 
     def is_proven_dead(self, target: str, now_ms: int) -> bool:
-        """Tell whether a target is dead, and was found so of late."""
+        """Tell whether a target is dead by a recent proof."""
         if target not in self.dead:
             return False
         return now_ms - self.targets[target].last_proof_ms <= PROOF_VALID_MS
 
     def forget(self, target: str) -> None:
-        """Drop what is known of a target that is gone."""
+        """Remove the state of a target."""
         self.targets.pop(target, None)
         self.dead.discard(target)
         self.suspected.discard(target)
@@ -216,7 +212,10 @@
 
 
 def decide(state: TargetHealth, event) -> list:
-    """Return the actions for an event."""
+    """Return the actions for an event.
+
+    Raises TypeError for an unknown event.
+    """
     match event:
         case TargetUnresponsive():
             return _handle_unresponsive(state, event)
@@ -316,7 +315,7 @@
 
 
 def _mark_suspected(state, event, health):
-    """Avoid a target that is silent, until there is proof."""
+    """Mark a target suspected until there is proof."""
     health.condition = Condition.SUSPECTED
     health.retry_ms = INITIAL_SUSPECT_INTERVAL_MS
     health.next_probe_ms = event.now_ms + health.retry_ms
@@ -327,7 +326,7 @@
 
 
 def _schedule_suspect_probe(health, is_proof, now_ms):
-    """Go on at once while there is proof, else ever later."""
+    """Schedule the next probe: soon after a proof, else with backoff."""
     interval_ms = PROBE_GAP_MS
     if not is_proof:
         health.retry_ms = min(2 * health.retry_ms, MAX_SUSPECT_INTERVAL_MS)
@@ -346,7 +345,7 @@
     health.in_flight = 0
     health.retry_ms = INITIAL_DEAD_INTERVAL_MS
     health.next_probe_ms = event.now_ms + health.retry_ms
-    # What is still under way of a target that was replaced tells nothing.
+    # Ignore the results of probes that are still in flight.
     health.probing_since_ms = event.now_ms
     state.suspected.discard(event.target)
     state.dead.add(event.target)
@@ -369,11 +368,11 @@
 
 
 def _is_due(health, is_link_busy, now_ms):
-    """Tell whether another probe of a doubted or dead target is due."""
+    """Tell whether another probe of an unhealthy target is due."""
     if health.condition is not Condition.PROBED:
         return not health.in_flight and now_ms >= health.next_probe_ms
     if is_link_busy and health.in_flight:
-        # More of them would wait behind it.
+        # Further probes would queue behind it on the link.
         return False
     sent = health.unanswered_probes + health.in_flight
     is_spaced = now_ms - health.sent_ms >= PROBE_GAP_MS
--- a/src/liftmount/_internal/models/flow_messages.py
+++ b/src/liftmount/_internal/models/flow_messages.py
@@ -1,4 +1,4 @@
-"""Events and actions of the decisions on segments of flows."""
+"""Events and actions of the forwarding decisions."""
 
 from enum import Enum
 
@@ -14,7 +14,7 @@
 
 
 class RefusalReason(Enum):
-    """Why a segment was answered by a reset, or dropped."""
+    """Why a segment was reset or dropped."""
 
     NO_ROUTE = 'no_route'
     NO_TARGET = 'no_target'
@@ -35,7 +35,7 @@
 
 @message
 class TargetPut(Message):
-    """A target is there; ``is_missing`` if its entry vanished."""
+    """A target was added or changed; ``is_missing`` if its entry vanished."""
 
     entry: TargetEntry
     now_ms: int
@@ -44,7 +44,7 @@
 
 @message
 class RetiredTarget(Message):
-    """A peer tells of a target that is gone, but may still hold flows."""
+    """A peer reports a target that is gone but may still hold flows."""
 
     entry: TargetEntry
     until_ms: int
@@ -52,7 +52,7 @@
 
 @message
 class DomainsEvacuated(Message):
-    """The targets of these failure domains, and no others, get no flows."""
+    """The targets of exactly these failure domains get no new flows."""
 
     domains: frozenset[str]
     now_ms: int
@@ -60,10 +60,10 @@
 
 @message
 class TargetsSettled(Message):
-    """All that the store told at once about targets is taken over.
+    """A batch of changes of targets from the store has been applied.
 
-    What waited for targets is decided on now; after the first of many it
-    would all go to that one.
+    Pending segments are handled only now: after the first target of a
+    batch all of them would be sent to that one.
     """
 
     now_ms: int
@@ -71,7 +71,7 @@
 
 @message
 class TargetRemoved(Message):
-    """A target has ended; its flows may be under way still."""
+    """A target was removed; its flows may still be open."""
 
     name: str
     now_ms: int
@@ -79,9 +79,9 @@
 
 @message
 class TargetHealthChanged(Message):
-    """A target answers no more, or does again.
+    """A target became dead, suspected or alive again.
 
-    One that ``is_suspected`` is only avoided.
+    A suspected target is only avoided; its flows are kept.
     """
 
     name: str
@@ -92,7 +92,7 @@
 
 @message
 class TargetEjected(Message):
-    """Several balancers saw a target give no answer."""
+    """A target was ejected, since several balancers saw it stall."""
 
     name: str
     until_ms: int
@@ -101,7 +101,7 @@
 
 @message
 class RoutesChanged(Message):
-    """A newer configuration is in force."""
+    """The routes of a newer configuration version."""
 
     table: RouteTable
     now_ms: int
@@ -109,7 +109,7 @@
 
 @define(eq=False, repr=False)
 class Forward(Message):
-    """Send a segment on to a target, with a tag that names it."""
+    """Forward a segment to a target, with the target's tag."""
 
     segment: Segment
     target: TargetEntry
@@ -118,7 +118,7 @@
 
 @message
 class Placed(Message):
-    """A new flow was placed; ``tries`` counts the targets so far."""
+    """An opening was placed; ``tries`` counts the targets tried so far."""
 
     segment: Segment
     route: Route
@@ -129,7 +129,7 @@
 
 @message
 class Refuse(Message):
-    """Answer the client with a reset: ``sequence`` is its number."""
+    """Send a reset with the number ``sequence`` to the client."""
 
     flow: bytes
     client: Endpoint
@@ -159,9 +159,10 @@
 
 @message
 class TargetRestarted(Message):
-    """A target started anew under its name.
+    """A target restarted under the same name.
 
-    It had ``flows`` here, and is sent again the ``requests`` under way.
+    It had ``flows`` here, and the last segments of ``requests`` in progress
+    are sent to it again.
     """
 
     target: TargetEntry
@@ -171,7 +172,7 @@
 
 @message
 class Answered(Message):
-    """A flow opened after ``latency_ms`` at a target."""
+    """A flow opened at a target after ``latency_ms`` and ``tries``."""
 
     target: str
     route: Route
--- a/src/liftmount/_internal/models/segments.py
+++ b/src/liftmount/_internal/models/segments.py
@@ -1,4 +1,4 @@
-"""Segments: what a balancer reads of a packet that it may not change."""
+"""Segments of flows, and the routes and targets for them."""
 
 from enum import Enum
 
@@ -11,11 +11,12 @@
 
 @define
 class Segment:
-    """One packet of a client, as its head describes it.
+    """One packet of a client, described by its header.
 
-    ``flow`` identifies both ends and nothing else; it is opaque here.
-    ``sequence`` and ``acknowledgement`` are those of the sender, modulo
-    2**32.  ``tag`` is the last tag that the client got, 0 if none.
+    ``flow`` is an opaque key of both endpoints. ``sequence`` and
+    ``acknowledgement`` are those of the sender, modulo 2**32. ``tag`` is the
+    last tag that the client received, 0 if none. ``datagram`` is the whole
+    packet, unchanged.
     """
 
     flow: bytes
@@ -32,9 +33,9 @@
 
 
 class RouteKind(Enum):
-    """What the requests of a route allow, and which way their bulk goes.
+    """Semantics of a route's requests, and the direction of bulk data.
 
-    Those of uploads run at most once.
+    Uploads run at most once.
     """
 
     REPEATABLE = 'repeatable'
@@ -45,7 +46,7 @@
 
 @frozen
 class ServiceShare:
-    """A service that a route leads to, and its part of the new flows."""
+    """A service of a route, and its weight for new flows."""
 
     service: str
     weight: int
@@ -53,9 +54,10 @@
 
 @frozen
 class WarmUp:
-    """How many requests a second a cold target bears, and for how long.
+    """Slow start of a service's targets.
 
-    Targets are cold for ``lasts_ms`` after a start.
+    A target gets at most ``per_s`` requests per second for ``lasts_ms`` after
+    its start.
     """
 
     per_s: float
@@ -64,11 +66,11 @@
 
 @frozen
 class Route:
-    """Where new flows to one address go.
+    """The services that new flows to one address are distributed over.
 
     ``priority`` 0 is the most urgent; ``objective_ms`` is the latency
-    that users aim for.  ``regions`` names those in which its targets have
-    to be, none for any.
+    objective. ``regions`` limits the targets to these regions; empty for
+    any.
     """
 
     name: str
@@ -84,9 +86,9 @@
 class RouteTable:
     """The routes of one configuration version, by address.
 
-    ``idle_limit_ms``: a flow that rested for longer may be forgotten.
+    A flow that was idle for ``idle_limit_ms`` may be forgotten.
     ``health_paths`` maps services to the path of their health check, and
-    ``warm_ups`` those that state a rate for cold targets to it.
+    ``warm_ups`` maps the services with a slow start rate to it.
     """
 
     version: int
@@ -100,11 +102,11 @@
 class TargetEntry:
     """A target as it describes itself in the platform's store.
 
-    ``number`` is its identity as the wire carries it.  ``slots`` counts
-    the requests that it works on at once.  ``warm_up_ms`` tells how much
-    longer it stays slow after its start, and ``started_wall_ms`` when that
-    was by its own clock, 0 if it doesn't say; a target that starts again
-    under its name holds none of the flows that it had.
+    ``number`` identifies it on the wire. ``slots`` is the number of requests
+    that it processes at once. ``warm_up_ms`` is the remaining warm-up time
+    after its start, and ``started_wall_ms`` the time of its start by its own
+    clock, 0 if not stated. A target that restarts under the same name has
+    lost its flows.
     """
 
     name: str
@@ -118,6 +120,6 @@
     started_wall_ms: int = 0
 
     def is_other_start(self, other) -> bool:
-        """Tell whether two entries of a name are of different starts."""
+        """Tell whether a restart happened between two entries of a name."""
         starts = {self.started_wall_ms, other.started_wall_ms}
         return len(starts) == 2 and 0 not in starts
