--- a/src/liftmount/_internal/decisions/stall_reports.py
+++ b/src/liftmount/_internal/decisions/stall_reports.py
@@ -47,7 +47,7 @@
 
 @message
 class StallReportReceived(Message):
-    """A stall report of a member, ``report``, was received."""
+    """A stall report of a member, ``doubt``, was received."""
 
     doubt: StallReport
     now_ms: int
@@ -55,7 +55,7 @@
 
 @message
 class SendStallReport(Message):
-    """Send a stall report, ``report``, to ``peers``."""
+    """Send a stall report, ``doubt``, to ``peers``."""
 
     doubt: StallReport
     peers: tuple[str, ...]
--- a/src/liftmount/_internal/services/packet_path.py
+++ b/src/liftmount/_internal/services/packet_path.py
@@ -64,8 +64,9 @@
     """Owns the packet socket and executes the forwarding decisions.
 
     ``codec`` has ``read(datagram)``, ``encode_forward(action)`` and
-    ``encode_reset(action)``; ``options`` are EntrySettings.  ``pending_probes``
-    holds a SendProbe for each probe that the owner has to start.
+    ``encode_reset(action)``; ``options`` are EntrySettings.
+    ``pending_probes`` holds a SendProbe for each probe that the owner has to
+    start.
     ``shutdown`` is a ShutdownState once a planned stop has begun.
     """
 
