--- a/benches/ablation.py
+++ b/benches/ablation.py
@@ -152,8 +152,8 @@
     ),
     Mechanism(
         'packets between imports',
-        'utils/import_turns.py',
-        '        if self._in_turn:\n            return\n',
+        'utils/import_hook.py',
+        '        if self._is_running:\n            return\n',
         '        return\n',
     ),
 )
--- a/benches/domain_start.py
+++ b/benches/domain_start.py
@@ -22,7 +22,7 @@
 from liftmount._internal.models.feeds import TARGETS
 from liftmount._internal.models.feeds import TargetUnknown
 from liftmount._internal.models.records import Tick
-from liftmount._internal.network.http import STALL_MS
+from liftmount._internal.network.http import PROGRESS_TIMEOUT_MS
 from liftmount._internal.services.entry import GROUP_DELAY_MS
 from liftmount._internal.services.entry import STORE_WAIT_MS
 
@@ -385,7 +385,7 @@
         if one.arrived >= one.size:
             del member.transfers[key]
             one.done()
-        elif self.now_ms - one.progress_ms >= STALL_MS:
+        elif self.now_ms - one.progress_ms >= PROGRESS_TIMEOUT_MS:
             del member.transfers[key]
             one.failed()
 
--- a/src/liftmount/_internal/cli/daemon.py
+++ b/src/liftmount/_internal/cli/daemon.py
@@ -21,7 +21,7 @@
 from liftmount._internal.models.identity import Identity
 from liftmount._internal.models.identity import make_incarnation
 from liftmount._internal.models.identity import RANDOM_BITS
-from liftmount._internal.models.messages import LeaveStarted
+from liftmount._internal.models.messages import ShutdownStarted
 from liftmount._internal.models.settings import load_settings
 from liftmount._internal.models.settings import Settings
 from liftmount._internal.services.configuration import ConfigurationService
@@ -107,7 +107,7 @@
     peers = kernel.lookup('peers')
     peers.stopping = True
     for name in ('data', 'peers'):
-        kernel.post(name, LeaveStarted())
+        kernel.post(name, ShutdownStarted())
     give_up_ms = clock.now_ms() + settings.limits.stop_ms
     data = kernel.lookup('data')
     while clock.now_ms() < give_up_ms:
--- a/src/liftmount/_internal/commands/evacuate.py
+++ b/src/liftmount/_internal/commands/evacuate.py
@@ -14,7 +14,7 @@
 from liftmount._internal.commands.marks import set_mark
 from liftmount._internal.models.objects import Evacuation
 from liftmount._internal.models.objects import ObjectKind
-from liftmount._internal.store.instances import live_domains
+from liftmount._internal.store.instances import read_live_domains
 
 
 class EvacuateCommand(Command):
@@ -56,7 +56,7 @@
 
 async def _known_domains(store):
     """Return the domains that have targets or live balancers."""
-    domains = await live_domains(store)
+    domains = await read_live_domains(store)
     teams = await store.list(ObjectKind.TEAM.value)
     for item in teams.items:
         document = stored_document(item) or {}
--- a/src/liftmount/_internal/commands/in_force.py
+++ b/src/liftmount/_internal/commands/in_force.py
@@ -3,7 +3,7 @@
 from attrs import frozen
 
 from liftmount._internal.decisions.claims import in_force
-from liftmount._internal.store.instances import live_domains
+from liftmount._internal.store.instances import read_live_domains
 from liftmount._internal.store.interface import ObjectStore
 from liftmount._internal.store.statuses import read_statuses
 
@@ -19,7 +19,7 @@
 async def check_version(store: ObjectStore, version: int) -> InForce:
     """Tell whether every balancer holds ``version``."""
     statuses = await read_statuses(store)
-    domains = await live_domains(store)
+    domains = await read_live_domains(store)
     if not domains:
         return InForce(False, 'there is no live balancer')
     if in_force(version, statuses, domains):
--- a/src/liftmount/_internal/commands/status.py
+++ b/src/liftmount/_internal/commands/status.py
@@ -15,7 +15,7 @@
 from liftmount._internal.models.objects import DISSEMINATED_KINDS
 from liftmount._internal.models.objects import Evacuation
 from liftmount._internal.models.objects import ObjectKind
-from liftmount._internal.store.instances import live_domains
+from liftmount._internal.store.instances import read_live_domains
 from liftmount._internal.store.statuses import read_statuses
 from liftmount._internal.utils.documents import structure
 
@@ -81,7 +81,7 @@
         versions = [item.version for item in listing.items]
         newest = max([newest, *versions])
     statuses = {one.failure_domain: one for one in await read_statuses(store)}
-    domains = await live_domains(store)
+    domains = await read_live_domains(store)
     evacuated = await _read_evacuations(store)
     rows = []
     for name in sorted(domains | set(statuses)):
--- a/src/liftmount/_internal/decisions/membership.py
+++ b/src/liftmount/_internal/decisions/membership.py
@@ -25,7 +25,7 @@
 from liftmount._internal.models.members import member_record
 from liftmount._internal.models.members import MemberStatus
 from liftmount._internal.models.members import parse_member
-from liftmount._internal.models.records import changed
+from liftmount._internal.models.records import evolve
 from liftmount._internal.models.records import Tick
 
 PING = 1
@@ -164,7 +164,7 @@
 def announce(state: MembershipState, **changes) -> None:
     """Change this member's own record and gossip it."""
     version = state.own.version + 1
-    state.own = changed(state.own, version=version, **changes)
+    state.own = evolve(state.own, version=version, **changes)
     _queue_gossip(state, state.own.name)
 
 
@@ -204,14 +204,14 @@
     """Refute a wrong record of this member by a newer version."""
     if member.incarnation > state.own.incarnation:
         # From an earlier process of this name, whose clock was ahead.
-        state.own = changed(state.own, incarnation=member.incarnation + 1)
+        state.own = evolve(state.own, incarnation=member.incarnation + 1)
         _queue_gossip(state, state.own.name)
         return []
     if member.incarnation != state.own.incarnation:
         return []
     if not member.newer_than(state.own):
         return []
-    state.own = changed(state.own, version=member.version + 1)
+    state.own = evolve(state.own, version=member.version + 1)
     _queue_gossip(state, state.own.name)
     return []
 
--- a/src/liftmount/_internal/models/addresses.py
+++ b/src/liftmount/_internal/models/addresses.py
@@ -9,7 +9,7 @@
 from liftmount._internal.utils.raw_sockets import inet_ntop
 from liftmount._internal.utils.raw_sockets import inet_pton
 
-HIGHEST_PORT = 65_535
+MAX_PORT = 65_535
 
 
 @frozen
@@ -38,12 +38,12 @@
     if not separator or not port_text.isdecimal():
         raise ValueError(f'{text!r} is not IP:PORT')
     port = int(port_text)
-    if port > HIGHEST_PORT:
-        raise ValueError(f'port {port} is above {HIGHEST_PORT}')
-    return Endpoint(_canonical(host.strip('[]')), port)
+    if port > MAX_PORT:
+        raise ValueError(f'port {port} is above {MAX_PORT}')
+    return Endpoint(_normalize_ip(host.strip('[]')), port)
 
 
-def _canonical(ip):
+def _normalize_ip(ip):
     family = AF_INET6 if ':' in ip else AF_INET
     try:
         return inet_ntop(family, inet_pton(family, ip))
--- a/src/liftmount/_internal/models/entry_settings.py
+++ b/src/liftmount/_internal/models/entry_settings.py
@@ -18,7 +18,7 @@
     ``change_bound_ms`` after the store took it.  ``regions`` maps failure
     domains to the region in which each lies.  ``link_megabits_per_s`` is the
     rate of the own link each way, 0 if that is not known.  A balancer that
-    ``shares_doubts`` tells the others of targets that give no answer.
+    ``reports_stalls`` tells the others of targets that give no answer.
     """
 
     name: str
@@ -34,4 +34,4 @@
     change_bound_ms: int
     regions: dict[str, str] = Factory(dict)
     link_megabits_per_s: float = 0.0
-    shares_doubts: bool = False
+    reports_stalls: bool = False
--- a/src/liftmount/_internal/models/envelopes.py
+++ b/src/liftmount/_internal/models/envelopes.py
@@ -53,7 +53,7 @@
     fields = _load_list(datagram)
     if len(fields) < _FABRIC_FIELDS:
         raise PacketError('fabric envelope is too short')
-    return FabricEnvelope(*_check_ends(fields[:_FABRIC_FIELDS]))
+    return FabricEnvelope(*_check_types(fields[:_FABRIC_FIELDS]))
 
 
 def encode_peer(envelope: PeerEnvelope) -> bytes:
@@ -88,10 +88,10 @@
         return fields[1]
     if len(fields) < _PEER_FIELDS or fields[0] != PEER_PACKET:
         raise PacketError('unknown peer message')
-    _tag, sender, hops, *ends = fields[:_PEER_FIELDS]
+    _tag, sender, hops, *common = fields[:_PEER_FIELDS]
     if type(sender) is not str or type(hops) is not int:
         raise PacketError('peer envelope has a wrong type')
-    return PeerEnvelope(sender, hops, *_check_ends(ends))
+    return PeerEnvelope(sender, hops, *_check_types(common))
 
 
 def _load_list(datagram):
@@ -104,11 +104,11 @@
     return fields
 
 
-_END_TYPES = (str, int, str, int, bytes)
+_COMMON_TYPES = (str, int, str, int, bytes)
 
 
-def _check_ends(fields):
-    for value, kind in zip(fields, _END_TYPES, strict=True):
+def _check_types(fields):
+    for value, kind in zip(fields, _COMMON_TYPES, strict=True):
         if type(value) is not kind:
             raise PacketError('envelope has a wrong type')
     return fields
--- a/src/liftmount/_internal/models/members.py
+++ b/src/liftmount/_internal/models/members.py
@@ -7,7 +7,7 @@
 from liftmount._internal.exceptions import PacketError
 from liftmount._internal.models.addresses import Endpoint
 from liftmount._internal.models.addresses import parse_endpoint
-from liftmount._internal.models.records import changed
+from liftmount._internal.models.records import evolve
 
 _RECORD_FIELDS = 9
 
@@ -59,7 +59,7 @@
 
     def with_status(self, status: MemberStatus):
         """Return the same record with another status."""
-        return changed(self, status=status)
+        return evolve(self, status=status)
 
 
 def member_record(member: Member) -> list:
--- a/src/liftmount/_internal/models/messages.py
+++ b/src/liftmount/_internal/models/messages.py
@@ -10,7 +10,7 @@
 
 
 @frozen
-class PassPacket:
+class ForwardPacket:
     """Send a caller's packet to another balancer."""
 
     peer: str
@@ -18,14 +18,14 @@
 
 
 @frozen
-class PacketPassed:
+class PacketForwarded:
     """Another balancer passed a caller's packet on."""
 
     envelope: PeerEnvelope
 
 
 @frozen
-class ObjectsArrived:
+class ObjectsReceived:
     """Objects came from the platform or from a peer."""
 
     objects: list[StoredObject]
@@ -52,28 +52,28 @@
 
 
 @frozen
-class PullFrom:
+class PullObjects:
     """Ask a peer for the objects that this balancer lacks."""
 
     member: Member
 
 
 @frozen
-class PlatformReached:
+class PlatformReachabilityChanged:
     """Whether the platform could be reached has changed."""
 
     is_reached: bool
 
 
 @frozen
-class AppliedChanged:
+class AppliedDigestsChanged:
     """Which balancers of the failure domain hold which configuration."""
 
     digests: dict[str, bytes]
 
 
 @frozen
-class TargetMet:
+class TargetConnected:
     """A connection to a target is open and its identity was checked."""
 
     target: str
@@ -89,12 +89,12 @@
 
 
 @frozen
-class LeaveStarted:
+class ShutdownStarted:
     """A planned stop of this balancer has begun."""
 
 
 @frozen
-class LeaveCancelled:
+class ShutdownCancelled:
     """The operator wants this balancer back."""
 
 
--- a/src/liftmount/_internal/models/records.py
+++ b/src/liftmount/_internal/models/records.py
@@ -13,7 +13,7 @@
     return frozen(cls, eq=False, repr=False)
 
 
-def changed(value, **changes):
+def evolve(value, **changes):
     """Return a copy of a value of any class of attrs, with changes."""
     names = type(value).__match_args__
     fields = {name.lstrip('_'): getattr(value, name) for name in names}
--- a/src/liftmount/_internal/network/caller_flow.py
+++ b/src/liftmount/_internal/network/caller_flow.py
@@ -49,7 +49,7 @@
     next_number: int = 1
     waiting: dict = Factory(dict)
     refusals: dict = Factory(dict)
-    heard_ms: int = 0
+    last_received_ms: int = 0
     is_retired: bool = False
     opened: asyncio.Event = Factory(asyncio.Event)
     refusal: Refused | None = None
--- a/src/liftmount/_internal/network/client.py
+++ b/src/liftmount/_internal/network/client.py
@@ -41,10 +41,10 @@
 LOG = logging.getLogger('liftmount.client')
 FLOW_ID_BYTES = 8
 RESEND_FIRST_MS = 150
-RESEND_LONGEST_MS = 1_000
+RESEND_MAX_MS = 1_000
 # Without word from the home for this long, ask before sending a request
 # that may not be repeated: a home that is gone would leave it in doubt.
-FRESH_MS = 300
+HOME_LIVENESS_TTL_MS = 300
 # Several balancers must say that the home is gone, since one that is cut
 # off from the home says so too.
 HOME_GONE_LIMIT = 3
@@ -96,18 +96,18 @@
         """
         if len(body) > MAX_BODY_BYTES:
             raise ValueError(f'body is above {MAX_BODY_BYTES} bytes')
-        address = _endpoint(address)
+        address = _to_endpoint(address)
         give_up_ms = self.clock.now_ms() + deadline_ms
         self.budget.earn()
-        in_doubt = False
+        may_have_run = False
         while True:
-            flow = await self._ready_flow(address, give_up_ms, repeatable)
+            flow = await self._get_ready_flow(address, give_up_ms, repeatable)
             if isinstance(flow, Outcome):
-                return _all_copies(flow, in_doubt)
+                return _final_outcome(flow, may_have_run)
             outcome = await self._run(flow, body, give_up_ms)
             if not self._may_repeat(outcome, repeatable, give_up_ms):
-                return _all_copies(outcome, in_doubt)
-            in_doubt = True
+                return _final_outcome(outcome, may_have_run)
+            may_have_run = True
 
     def _may_repeat(self, outcome, repeatable, give_up_ms):
         if outcome.verdict is not Verdict.MAY_HAVE_RUN or not repeatable:
@@ -116,24 +116,24 @@
             return False
         return self.budget.spend()
 
-    async def _ready_flow(self, address, give_up_ms, repeatable):
+    async def _get_ready_flow(self, address, give_up_ms, repeatable):
         """Return an open flow whose home is there, or an Outcome."""
         while True:
             flow = self._request_flows.get(address)
             if flow is None or flow.is_retired:
-                flow = await self._open_shared(address, give_up_ms)
+                flow = await self._open_request_flow(address, give_up_ms)
                 if isinstance(flow, Outcome):
                     return flow
-            silent_ms = self.clock.now_ms() - flow.heard_ms
-            if repeatable or silent_ms < FRESH_MS:
+            silent_ms = self.clock.now_ms() - flow.last_received_ms
+            if repeatable or silent_ms < HOME_LIVENESS_TTL_MS:
                 return flow
-            if await self._is_there(flow, give_up_ms):
+            if await self._is_home_alive(flow, give_up_ms):
                 return flow
             if self.clock.now_ms() >= give_up_ms:
                 return Outcome(Verdict.NOT_RUN, reason=Reason.DEADLINE_PASSED)
             self._retire(flow)
 
-    async def _open_shared(self, address, give_up_ms):
+    async def _open_request_flow(self, address, give_up_ms):
         """Open one flow for all requests that wait for one."""
         task = self._opening.get(address)
         if task is None:
@@ -163,29 +163,29 @@
             flow.refusal = None
             flow.opened.clear()
             self.send(flow, packet)
-            await _wait(flow.opened, wait_ms)
+            await _wait_for_event(flow.opened, wait_ms)
             if flow.token:
                 return flow
             if flow.refusal is None:
-                wait_ms = min(RESEND_LONGEST_MS, wait_ms * 3 // 2)
+                wait_ms = min(RESEND_MAX_MS, wait_ms * 3 // 2)
                 continue
             if flow.refusal.reason in FINAL_REFUSALS:
                 break
             await asyncio.sleep(seconds(max(50, flow.refusal.retry_after_ms)))
         self.flows.pop(flow_id, None)
-        return _no_flow(flow)
+        return _open_failure(flow)
 
-    async def _is_there(self, flow, give_up_ms):
+    async def _is_home_alive(self, flow, give_up_ms):
         """Ask the home for a sign of life before committing to it."""
-        heard_ms = flow.heard_ms
+        last_received_ms = flow.last_received_ms
         packet = Keepalive(flow.flow_id, flow.token)
         for _attempt in range(HOME_GONE_LIMIT + 1):
             if self.clock.now_ms() >= give_up_ms:
                 return False
             flow.opened.clear()
             self.send(flow, packet)
-            await _wait(flow.opened, RESEND_FIRST_MS)
-            if flow.heard_ms > heard_ms:
+            await _wait_for_event(flow.opened, RESEND_FIRST_MS)
+            if flow.last_received_ms > last_received_ms:
                 return True
             if flow.refusal is not None or flow.is_retired:
                 flow.refusal = None
@@ -216,8 +216,8 @@
         pieces = split_body(body)
         wait_ms = RESEND_FIRST_MS + 2 * len(pieces)
         while True:
-            left_ms = give_up_ms - self.clock.now_ms()
-            if left_ms <= 0:
+            remaining_ms = give_up_ms - self.clock.now_ms()
+            if remaining_ms <= 0:
                 self.send(flow, Cancel(number, flow.token, flow.flow_id))
                 return Outcome(
                     Verdict.MAY_HAVE_RUN, reason=Reason.DEADLINE_PASSED
@@ -229,16 +229,16 @@
                     flow_id=flow.flow_id,
                     piece=index,
                     pieces=len(pieces),
-                    deadline_ms=left_ms,
+                    deadline_ms=remaining_ms,
                     body=piece,
                 )
                 self.send(flow, packet)
             done, _pending = await asyncio.wait(
-                {answer}, timeout=seconds(min(wait_ms, left_ms))
+                {answer}, timeout=seconds(min(wait_ms, remaining_ms))
             )
             if done:
                 return answer.result()
-            wait_ms = min(RESEND_LONGEST_MS, wait_ms * 3 // 2)
+            wait_ms = min(RESEND_MAX_MS, wait_ms * 3 // 2)
 
     def _retire(self, flow):
         """Use a flow for no further request."""
@@ -265,7 +265,7 @@
 
         Raises StreamEnded when no flow could be opened in time.
         """
-        stream = Stream(self, _endpoint(address), name, sequence)
+        stream = Stream(self, _to_endpoint(address), name, sequence)
         await stream.open(deadline_ms)
         self.keep_task(asyncio.create_task(stream.keep_alive()))
         return stream
@@ -288,7 +288,7 @@
             case Opened():
                 self._on_opened(flow, packet)
             case Answer():
-                flow.heard_ms = self.clock.now_ms()
+                flow.last_received_ms = self.clock.now_ms()
                 self._on_answer(flow, packet)
             case Refused():
                 self._on_refused(flow, packet)
@@ -298,7 +298,7 @@
                 flow.opened.set()
                 flow.inbox.put_nowait(packet)
             case Push():
-                flow.heard_ms = self.clock.now_ms()
+                flow.last_received_ms = self.clock.now_ms()
                 flow.inbox.put_nowait(packet)
 
     def _on_opened(self, flow, packet):
@@ -317,7 +317,7 @@
         elif flow.is_stream or not flow.token:
             flow.token = packet.token
             flow.grant = packet.grant
-        flow.heard_ms = self.clock.now_ms()
+        flow.last_received_ms = self.clock.now_ms()
         flow.opened.set()
 
     def _on_answer(self, flow, packet):
@@ -333,7 +333,7 @@
         )
         self._reassembly.expire(self.clock.now_ms())
         if body is not None:
-            waiting.set_result(_outcome(packet, body))
+            waiting.set_result(_read_outcome(packet, body))
 
     def _on_refused(self, flow, packet):
         flow.refusal = packet
@@ -344,19 +344,19 @@
             return
         refusals = flow.refusals.get(packet.number, 0) + 1
         flow.refusals[packet.number] = refusals
-        is_split = packet.reason == Reason.HOME_GONE.value
-        if waiting.done() or (is_split and refusals < HOME_GONE_LIMIT):
+        is_home_gone = packet.reason == Reason.HOME_GONE.value
+        if waiting.done() or (is_home_gone and refusals < HOME_GONE_LIMIT):
             return
-        reason = _reason(packet.reason)
+        reason = _read_reason(packet.reason)
         waiting.set_result(Outcome(Verdict.MAY_HAVE_RUN, reason=reason))
         self._retire(flow)
 
 
-def _endpoint(address):
+def _to_endpoint(address):
     return parse_endpoint(address) if isinstance(address, str) else address
 
 
-def _reason(text):
+def _read_reason(text):
     try:
         return Reason(text)
     except ValueError:
@@ -364,36 +364,36 @@
         return None
 
 
-def _outcome(packet, body):
+def _read_outcome(packet, body):
     try:
         verdict = Verdict(packet.verdict)
     except ValueError:
         verdict = Verdict.MAY_HAVE_RUN
     if verdict is not Verdict.RAN:
         body = b''
-    reason = _reason(packet.reason) if packet.reason else None
+    reason = _read_reason(packet.reason) if packet.reason else None
     return Outcome(verdict, body, reason, packet.retry_after_ms)
 
 
-def _no_flow(flow):
+def _open_failure(flow):
     reason = Reason.DEADLINE_PASSED
     retry_after_ms = 0
     if flow.refusal is not None:
-        reason = _reason(flow.refusal.reason)
+        reason = _read_reason(flow.refusal.reason)
         retry_after_ms = flow.refusal.retry_after_ms
     return Outcome(
         Verdict.NOT_RUN, reason=reason, retry_after_ms=retry_after_ms
     )
 
 
-def _all_copies(outcome, in_doubt):
+def _final_outcome(outcome, may_have_run):
     """Say NOT_RUN only if no earlier copy of the request is in doubt."""
-    if not in_doubt or outcome.verdict is not Verdict.NOT_RUN:
+    if not may_have_run or outcome.verdict is not Verdict.NOT_RUN:
         return outcome
     return Outcome(Verdict.MAY_HAVE_RUN, reason=outcome.reason)
 
 
-async def _wait(event, wait_ms):
+async def _wait_for_event(event, wait_ms):
     try:
         await asyncio.wait_for(event.wait(), seconds(wait_ms))
     except TimeoutError:
--- a/src/liftmount/_internal/network/http.py
+++ b/src/liftmount/_internal/network/http.py
@@ -15,10 +15,10 @@
 from liftmount._internal.clock import seconds
 from liftmount._internal.exceptions import HttpError
 from liftmount._internal.models.addresses import Endpoint
+from liftmount._internal.network.http_messages import encode_request
 from liftmount._internal.network.http_messages import HttpAnswer
 from liftmount._internal.network.http_messages import HttpMessage
 from liftmount._internal.network.http_messages import READ_BYTES
-from liftmount._internal.network.http_messages import request_bytes
 from liftmount._internal.utils.raw_sockets import RawSocket
 
 # A peer that a cut hides is noticed after this long; both the data that is
@@ -32,7 +32,7 @@
 # read.  A list of 1,700 routes takes 1.1 s on a link of 2 Mbit/s; with a
 # limit of 1 s on all of it no balancer on such a link ever got one.  A lost
 # packet holds bytes up for some 0.3 s.
-STALL_MS = 1_000
+PROGRESS_TIMEOUT_MS = 1_000
 
 
 def watch_for_dead_peer(raw: socket.socket) -> None:
@@ -48,7 +48,7 @@
         raw.setsockopt(socket.IPPROTO_TCP, option, value)
 
 
-async def _receive(reader, parser, message, on_progress=None) -> bool:
+async def _read_message(reader, parser, message, on_progress=None) -> bool:
     """Read one message; False if the peer closed before it began.
 
     ``on_progress()`` is called for each part.  Raises ConnectionResetError
@@ -68,7 +68,7 @@
     return True
 
 
-class _Patience:
+class _ProgressTimeout:
     """Ends a call that makes no progress.
 
     ``limit`` is that of asyncio.timeout, which ends the call at first when
@@ -80,14 +80,14 @@
         self._loop = asyncio.get_running_loop()
         self._began_s = None
 
-    def note_progress(self) -> None:
+    def extend(self) -> None:
         """Wait on, as a part of the answer has come."""
         now_s = self._loop.time()
         if self._began_s is None:
             self._began_s = now_s
-        self._limit.reschedule(now_s + seconds(STALL_MS))
+        self._limit.reschedule(now_s + seconds(PROGRESS_TIMEOUT_MS))
 
-    def lasted_ms(self) -> int:
+    def elapsed_ms(self) -> int:
         """Return the time since the first part of the answer."""
         return round((self._loop.time() - self._began_s) * MS_PER_SECOND)
 
@@ -138,8 +138,8 @@
         try:
             async with asyncio.timeout(seconds(timeout_ms)) as limit:
                 await self.open()
-                patience = _Patience(limit)
-                return await self._exchange(method, target, body, patience)
+                timeout = _ProgressTimeout(limit)
+                return await self._exchange(method, target, body, timeout)
         except (OSError, HttpParserError, TimeoutError) as error:
             self.close()
             text = f'{method} {target}: {type(error).__name__} {error}'
@@ -169,13 +169,13 @@
             self._writer.close()
         self._writer = None
 
-    async def _exchange(self, method, target, body, patience):
-        request = request_bytes(method, target, self.address, body)
+    async def _exchange(self, method, target, body, timeout):
+        request = encode_request(method, target, self.address, body)
         self._writer.write(request)
         message = HttpMessage()
         parser = HttpResponseParser(message)
-        note = patience.note_progress
-        if not await _receive(self._reader, parser, message, note):
+        note = timeout.extend
+        if not await _read_message(self._reader, parser, message, note):
             raise ConnectionResetError('closed before an answer')
         if not parser.should_keep_alive():
             self.close()
@@ -184,7 +184,7 @@
             status,
             bytes(message.body),
             message.headers,
-            patience.lasted_ms(),
+            timeout.elapsed_ms(),
         )
 
 
@@ -225,7 +225,7 @@
     async def _serve_one(self, reader, writer):
         message = HttpMessage()
         parser = HttpRequestParser(message)
-        if not await _receive(reader, parser, message):
+        if not await _read_message(reader, parser, message):
             return False
         answer = self._answer(message.target)
         lines = [f'HTTP/1.1 {answer.status} -']
--- a/src/liftmount/_internal/network/http_messages.py
+++ b/src/liftmount/_internal/network/http_messages.py
@@ -26,13 +26,13 @@
 class HttpAnswer:
     """Status, headers with lower-case names, and the whole body.
 
-    ``lasted_ms`` is how long it took to arrive, from its first byte on.
+    ``transfer_ms`` is how long it took to arrive, from its first byte on.
     """
 
     status: int
     body: bytes
     headers: dict[str, str]
-    lasted_ms: int = 0
+    transfer_ms: int = 0
 
 
 class HttpMessage:
@@ -63,7 +63,7 @@
         self.is_complete = True
 
 
-def request_bytes(
+def encode_request(
     method: str, target: str, address: Endpoint, body: bytes = b''
 ) -> bytes:
     """Return a whole request; a body is JSON."""
--- a/src/liftmount/_internal/network/stream.py
+++ b/src/liftmount/_internal/network/stream.py
@@ -13,10 +13,10 @@
 from liftmount._internal.network.caller_flow import StreamEvent
 
 KEEPALIVE_MS = 1_000
-REPAIR_MS = 80
-OVERLAP_MS = 1_500
-REBIND_MS = 10_000
-EVENTS_BUFFERED = 4_096
+REORDER_WAIT_MS = 80
+REBIND_OVERLAP_MS = 1_500
+REBIND_TIMEOUT_MS = 10_000
+MAX_BUFFERED_EVENTS = 4_096
 
 
 class Stream:
@@ -30,11 +30,11 @@
         self._address = address
         self._name = name
         self._flow = None
-        self._old = {}
-        self._early = {}
-        self._events = asyncio.Queue(EVENTS_BUFFERED)
-        self._gap_noticed = asyncio.Event()
-        self._rebinding = None
+        self._old_flows = {}
+        self._out_of_order = {}
+        self._events = asyncio.Queue(MAX_BUFFERED_EVENTS)
+        self._gap_detected = asyncio.Event()
+        self._rebind_task = None
         self._closed = False
         self.sequence = sequence
         self.rebinds = 0
@@ -47,9 +47,9 @@
         )
         if isinstance(flow, Outcome):
             raise StreamEnded(flow.reason.value)
-        self._use(flow)
+        self._start_reading(flow)
 
-    def _use(self, flow):
+    def _start_reading(self, flow):
         self._flow = flow
         task = asyncio.create_task(self._read(flow))
         self._client.keep_task(task)
@@ -68,31 +68,31 @@
                     self._start_rebind(flow)
 
     async def _on_push(self, flow, packet):
-        if flow is self._flow and self._old:
+        if flow is self._flow and self._old_flows:
             # The new flow delivers, so the old ones may go.
-            for old in self._old:
+            for old in self._old_flows:
                 self._client.close_flow(old)
-            self._old.clear()
+            self._old_flows.clear()
         if packet.sequence <= self.sequence:
             return
-        self._early[packet.sequence] = packet.body
-        while self.sequence + 1 in self._early:
+        self._out_of_order[packet.sequence] = packet.body
+        while self.sequence + 1 in self._out_of_order:
             self.sequence += 1
-            body = self._early.pop(self.sequence)
+            body = self._out_of_order.pop(self.sequence)
             await self._events.put(StreamEvent(self.sequence, body))
-        if self._early:
-            self._gap_noticed.set()
+        if self._out_of_order:
+            self._gap_detected.set()
 
     def _start_rebind(self, flow):
-        if flow is not self._flow or self._rebinding is not None:
+        if flow is not self._flow or self._rebind_task is not None:
             return
-        self._rebinding = asyncio.create_task(self._rebind(flow))
-        self._client.keep_task(self._rebinding)
+        self._rebind_task = asyncio.create_task(self._rebind(flow))
+        self._client.keep_task(self._rebind_task)
 
     async def _rebind(self, old):
         """Make the new flow before the old one is broken."""
         try:
-            give_up_ms = self._client.clock.now_ms() + REBIND_MS
+            give_up_ms = self._client.clock.now_ms() + REBIND_TIMEOUT_MS
             flow = await self._client.open_flow(
                 self._address,
                 give_up_ms,
@@ -106,29 +106,29 @@
                 return
             self.rebinds += 1
             now_ms = self._client.clock.now_ms()
-            self._old[old] = now_ms + OVERLAP_MS
-            self._use(flow)
+            self._old_flows[old] = now_ms + REBIND_OVERLAP_MS
+            self._start_reading(flow)
         finally:
-            self._rebinding = None
+            self._rebind_task = None
 
     async def keep_alive(self) -> None:
         """Send keepalives, sooner while an event is missing."""
         while not self._closed:
             self._send_keepalive()
-            self._drop_old()
-            self._gap_noticed.clear()
+            self._close_expired_flows()
+            self._gap_detected.clear()
             try:
                 async with asyncio.timeout(seconds(KEEPALIVE_MS)):
-                    await self._gap_noticed.wait()
+                    await self._gap_detected.wait()
                     # What is missing may only be late.
-                    await asyncio.sleep(seconds(REPAIR_MS))
+                    await asyncio.sleep(seconds(REORDER_WAIT_MS))
             except TimeoutError:
                 pass
 
-    def _drop_old(self):
+    def _close_expired_flows(self):
         now_ms = self._client.clock.now_ms()
-        for old in [o for o, end in self._old.items() if now_ms >= end]:
-            del self._old[old]
+        for old in [o for o, end in self._old_flows.items() if now_ms >= end]:
+            del self._old_flows[old]
             self._client.close_flow(old)
 
     def _send_keepalive(self):
@@ -143,7 +143,7 @@
     def close(self) -> None:
         """Give the stream up."""
         self._closed = True
-        for flow in [*self._old, self._flow]:
+        for flow in [*self._old_flows, self._flow]:
             self._client.close_flow(flow)
 
     def __aiter__(self):
--- a/src/liftmount/_internal/services/configuration.py
+++ b/src/liftmount/_internal/services/configuration.py
@@ -7,7 +7,7 @@
 from liftmount._internal.kernel import Service
 from liftmount._internal.models.messages import ConfigurationChanged
 from liftmount._internal.models.messages import Inspect
-from liftmount._internal.models.messages import ObjectsArrived
+from liftmount._internal.models.messages import ObjectsReceived
 from liftmount._internal.models.reasons import Reason
 
 LOG = logging.getLogger('liftmount.configuration')
@@ -27,7 +27,7 @@
     def handle(self, message):
         """Handle one message of another service."""
         match message:
-            case ObjectsArrived():
+            case ObjectsReceived():
                 self._apply(message)
             case Inspect():
                 message.answer.set_result(self._inspect())
--- a/src/liftmount/_internal/services/control.py
+++ b/src/liftmount/_internal/services/control.py
@@ -20,12 +20,12 @@
 from liftmount._internal.exceptions import PacketError
 from liftmount._internal.kernel import Service
 from liftmount._internal.models.addresses import Endpoint
-from liftmount._internal.models.messages import AppliedChanged
+from liftmount._internal.models.messages import AppliedDigestsChanged
 from liftmount._internal.models.messages import ConfigurationChanged
 from liftmount._internal.models.messages import Inspect
 from liftmount._internal.models.messages import MembersChanged
-from liftmount._internal.models.messages import ObjectsArrived
-from liftmount._internal.models.messages import PullFrom
+from liftmount._internal.models.messages import ObjectsReceived
+from liftmount._internal.models.messages import PullObjects
 from liftmount._internal.network import control_frames as frames
 
 LOG = logging.getLogger('liftmount.control')
@@ -105,7 +105,7 @@
             case MembersChanged():
                 self._members = message
                 self._choose_parent()
-            case PullFrom():
+            case PullObjects():
                 self._spawn(self._pull(message.member))
             case _:
                 super().handle(message)
@@ -193,7 +193,7 @@
         message = frames.CODEC.decode(frame)
         if isinstance(message, frames.Objects):
             objects = frames.unpack_objects(message.objects)
-            arrived = ObjectsArrived(objects, source)
+            arrived = ObjectsReceived(objects, source)
             self.kernel.post('configuration', arrived)
 
     async def _pull(self, member):
@@ -223,7 +223,7 @@
         self._report_due = None
         digests = self._reports.combined()
         if self._parent is None:
-            self.kernel.post('platform', AppliedChanged(digests))
+            self.kernel.post('platform', AppliedDigestsChanged(digests))
         elif self._parent_socket is not None:
             data = frames.CODEC.encode(frames.Applied(digests))
             self._spawn(self._send_quietly(self._parent_socket, data))
--- a/src/liftmount/_internal/services/data.py
+++ b/src/liftmount/_internal/services/data.py
@@ -26,14 +26,14 @@
 from liftmount._internal.models.envelopes import FabricEnvelope
 from liftmount._internal.models.envelopes import PeerEnvelope
 from liftmount._internal.models.messages import ConfigurationChanged
+from liftmount._internal.models.messages import ForwardPacket
 from liftmount._internal.models.messages import Inspect
-from liftmount._internal.models.messages import LeaveCancelled
-from liftmount._internal.models.messages import LeaveStarted
 from liftmount._internal.models.messages import MembersChanged
-from liftmount._internal.models.messages import PacketPassed
-from liftmount._internal.models.messages import PassPacket
+from liftmount._internal.models.messages import PacketForwarded
+from liftmount._internal.models.messages import ShutdownCancelled
+from liftmount._internal.models.messages import ShutdownStarted
+from liftmount._internal.models.messages import TargetConnected
 from liftmount._internal.models.messages import TargetDraining
-from liftmount._internal.models.messages import TargetMet
 from liftmount._internal.models.packets import Answer
 from liftmount._internal.models.packets import Cancel
 from liftmount._internal.models.packets import Close
@@ -135,7 +135,7 @@
     def handle(self, message):
         """Handle one message of another service."""
         match message:
-            case PacketPassed():
+            case PacketForwarded():
                 self._from_peer(message.envelope)
             case events.PushArrived() | events.StreamLost():
                 self._execute(streams.decide(self.home, message))
@@ -149,11 +149,11 @@
                 self._configure(message.view)
             case MembersChanged():
                 self._note_members(message)
-            case TargetMet() | TargetDraining():
+            case TargetConnected() | TargetDraining():
                 self._note_target(message)
-            case LeaveStarted():
+            case ShutdownStarted():
                 self._leave(True)
-            case LeaveCancelled():
+            case ShutdownCancelled():
                 self._leave(False)
             case Inspect():
                 message.answer.set_result(self._inspect(message))
@@ -205,7 +205,7 @@
             datagram=envelope.datagram,
         )
         self.counters.count('passed')
-        self.kernel.post('peers', PassPacket(peer, passed))
+        self.kernel.post('peers', ForwardPacket(peer, passed))
 
     def _refuse_packet(self, event, action):
         self.counters.refused(action.reason)
@@ -418,7 +418,7 @@
 
     def _note_own_drain(self, view):
         leaves = view.is_leaving(self.identity.name)
-        message = LeaveStarted() if leaves else LeaveCancelled()
+        message = ShutdownStarted() if leaves else ShutdownCancelled()
         if leaves or not self.kernel.lookup('peers').stopping:
             for name in ('data', 'peers'):
                 self.kernel.post(name, message)
@@ -439,7 +439,7 @@
     def _note_target(self, message):
         now_ms = self.clock.now_ms()
         match message:
-            case TargetMet():
+            case TargetConnected():
                 self.home.draining.discard(message.target)
                 for state in self.home.pools.values():
                     state.pool.seen(
--- a/src/liftmount/_internal/services/entry.py
+++ b/src/liftmount/_internal/services/entry.py
@@ -20,7 +20,7 @@
 from liftmount._internal.services.packets import PacketService
 from liftmount._internal.services.readiness import ReadinessService
 from liftmount._internal.services.startup import StartupContext
-from liftmount._internal.utils.import_turns import ImportTurns
+from liftmount._internal.utils.import_hook import ImportHook
 
 LOG_FLUSH_MS = 200
 POLL_MS = 50
@@ -145,7 +145,7 @@
         await self._add_group_services()
 
     async def _add_group_services(self):
-        with ImportTurns(self.path.read):
+        with ImportHook(self.path.read):
             from liftmount._internal.services.group import GroupOptions
             from liftmount._internal.services.group import GroupService
             from liftmount._internal.services.metrics_page import MetricsPage
--- a/src/liftmount/_internal/services/metrics_page.py
+++ b/src/liftmount/_internal/services/metrics_page.py
@@ -76,7 +76,7 @@
         gauges['reads_store'] = int(dissemination.is_reader)
         rejected = self._find_rejected_objects()
         gauges['objects_left_out'] = len(rejected.objects) if rejected else 0
-        gauges['log_lines_lost'] = self._log.lost_in_all
+        gauges['log_lines_lost'] = self._log.total_lost
 
     async def stop(self):
         """Close the server."""
--- a/src/liftmount/_internal/services/packet_path.py
+++ b/src/liftmount/_internal/services/packet_path.py
@@ -86,7 +86,7 @@
             evacuated=None,
             regions=options.regions,
             fleet=Fleet(options.name),
-            is_watching_stalls=options.shares_doubts,
+            is_watching_stalls=options.reports_stalls,
         )
         self.store_cache = StoreCache(self.state, log)
         self.on_unknown_target = None
--- a/src/liftmount/_internal/services/peers.py
+++ b/src/liftmount/_internal/services/peers.py
@@ -12,13 +12,13 @@
 from liftmount._internal.models.members import Member
 from liftmount._internal.models.members import MemberStatus
 from liftmount._internal.models.messages import ConfigurationChanged
-from liftmount._internal.models.messages import LeaveCancelled
-from liftmount._internal.models.messages import LeaveStarted
+from liftmount._internal.models.messages import ForwardPacket
 from liftmount._internal.models.messages import MembersChanged
-from liftmount._internal.models.messages import PacketPassed
-from liftmount._internal.models.messages import PassPacket
-from liftmount._internal.models.messages import PlatformReached
-from liftmount._internal.models.messages import PullFrom
+from liftmount._internal.models.messages import PacketForwarded
+from liftmount._internal.models.messages import PlatformReachabilityChanged
+from liftmount._internal.models.messages import PullObjects
+from liftmount._internal.models.messages import ShutdownCancelled
+from liftmount._internal.models.messages import ShutdownStarted
 from liftmount._internal.models.reasons import Reason
 from liftmount._internal.models.records import Tick
 from liftmount._internal.network.udp import UdpSocket
@@ -88,15 +88,15 @@
     def handle(self, message):
         """Handle one message of another service."""
         match message:
-            case PassPacket():
+            case ForwardPacket():
                 self._pass(message)
             case ConfigurationChanged():
                 self.state.digest = message.digest
-            case PlatformReached():
+            case PlatformReachabilityChanged():
                 self._announce(has_platform=message.is_reached)
-            case LeaveStarted():
+            case ShutdownStarted():
                 self._announce(leaving=True)
-            case LeaveCancelled():
+            case ShutdownCancelled():
                 self._announce(leaving=False)
             case _:
                 super().handle(message)
@@ -132,7 +132,7 @@
         try:
             message = decode_peer(data)
             if isinstance(message, PeerEnvelope):
-                self.kernel.post('data', PacketPassed(message))
+                self.kernel.post('data', PacketForwarded(message))
                 return
             event = membership.MessageArrived(
                 message, Endpoint(*source[:2]), self.clock.now_ms()
@@ -166,4 +166,4 @@
         if now_ms < self._next_pull_ms:
             return
         self._next_pull_ms = now_ms + PULL_EVERY_MS
-        self.kernel.post('control', PullFrom(member))
+        self.kernel.post('control', PullObjects(member))
--- a/src/liftmount/_internal/services/platform.py
+++ b/src/liftmount/_internal/services/platform.py
@@ -23,12 +23,12 @@
 from liftmount._internal.exceptions import PlatformUnavailableError
 from liftmount._internal.kernel import Service
 from liftmount._internal.models.feeds import StoredObject
-from liftmount._internal.models.messages import AppliedChanged
+from liftmount._internal.models.messages import AppliedDigestsChanged
 from liftmount._internal.models.messages import ConfigurationChanged
 from liftmount._internal.models.messages import Inspect
 from liftmount._internal.models.messages import MembersChanged
-from liftmount._internal.models.messages import ObjectsArrived
-from liftmount._internal.models.messages import PlatformReached
+from liftmount._internal.models.messages import ObjectsReceived
+from liftmount._internal.models.messages import PlatformReachabilityChanged
 from liftmount._internal.models.objects import BALANCER_ROLE
 from liftmount._internal.models.objects import ClaimState
 from liftmount._internal.models.objects import DISSEMINATED_KINDS
@@ -121,7 +121,7 @@
                 self._digest = message.digest
             case MembersChanged():
                 self._members = message
-            case AppliedChanged():
+            case AppliedDigestsChanged():
                 self._digests = message.digests
             case Inspect():
                 message.answer.set_result(self._inspect())
@@ -171,7 +171,7 @@
             self._is_reached = True
             self._must_list = True
             self._list_all_ms = 0
-            self.kernel.post('peers', PlatformReached(True))
+            self.kernel.post('peers', PlatformReachabilityChanged(True))
 
     def _note_failure(self, error):
         self.counters.refused(Reason.PLATFORM_UNAVAILABLE)
@@ -180,7 +180,7 @@
         if self._is_reached and self._failures >= FAILURES_TO_YIELD:
             LOG.warning('The platform is out of reach: %s.', error)
             self._is_reached = False
-            self.kernel.post('peers', PlatformReached(False))
+            self.kernel.post('peers', PlatformReachabilityChanged(False))
 
     @staticmethod
     def _retry_ms():
@@ -235,7 +235,7 @@
                     break
 
     def _hand_on(self, objects, source):
-        self.kernel.post('configuration', ObjectsArrived(objects, source))
+        self.kernel.post('configuration', ObjectsReceived(objects, source))
 
     # The lease.
 
@@ -416,7 +416,7 @@
         """Write an object of the system's own, and take it over."""
         written = await write_and_resolve(self.store, key, value, version)
         item = StoredObject(key, written, value)
-        arrived = ObjectsArrived([item], 'this balancer')
+        arrived = ObjectsReceived([item], 'this balancer')
         self.kernel.post('configuration', arrived)
 
     def _claims_are_due(self):
--- a/src/liftmount/_internal/services/startup.py
+++ b/src/liftmount/_internal/services/startup.py
@@ -13,7 +13,7 @@
 from liftmount._internal.models.entry_settings import EntrySettings
 from liftmount._internal.models.feeds import FeedUpdate
 from liftmount._internal.models.feeds import Listing
-from liftmount._internal.models.records import changed
+from liftmount._internal.models.records import evolve
 from liftmount._internal.services.packet_path import bind_packet_socket
 from liftmount._internal.services.packet_path import PacketPath
 from liftmount._internal.services.packet_path import TICK_MS
@@ -161,7 +161,7 @@
             self._poll.modify(pending.socket, events)
             return
         self._remove_list(feed, pending)
-        startup.listings[feed] = changed(listing, items=())
+        startup.listings[feed] = evolve(listing, items=())
         answer = FeedUpdate(feed, listing)
         now_ms = startup.clock.now_ms()
         startup.path.execute(
--- a/src/liftmount/_internal/services/targets.py
+++ b/src/liftmount/_internal/services/targets.py
@@ -22,8 +22,8 @@
 from liftmount._internal.models import events
 from liftmount._internal.models.addresses import Endpoint
 from liftmount._internal.models.messages import ConfigurationChanged
+from liftmount._internal.models.messages import TargetConnected
 from liftmount._internal.models.messages import TargetDraining
-from liftmount._internal.models.messages import TargetMet
 from liftmount._internal.models.packets import MAX_BODY_BYTES
 from liftmount._internal.models.reasons import Reason
 from liftmount._internal.network import target_frames as frames
@@ -157,7 +157,7 @@
             if not self._is_expected(link, hello):
                 return
             link.is_open = True
-            met = TargetMet(link.target, hello.incarnation)
+            met = TargetConnected(link.target, hello.incarnation)
             self.kernel.post('data', met)
             if hello.is_draining:
                 self._turn_away(link)
--- a/src/liftmount/_internal/store/instances.py
+++ b/src/liftmount/_internal/store/instances.py
@@ -25,7 +25,7 @@
     return [read_instance(item) for item in listing.items]
 
 
-async def live_domains(store: ObjectStore) -> set[str]:
+async def read_live_domains(store: ObjectStore) -> set[str]:
     """Return the failure domains that have live balancers."""
     return {
         entry.failure_domain
--- a/src/liftmount/_internal/store/reader.py
+++ b/src/liftmount/_internal/store/reader.py
@@ -26,15 +26,15 @@
     """Reads objects that every balancer holds, and the instance list.
 
     ``held()`` returns the objects that are held here by key, and
-    ``hand_on(objects, source)`` takes what is newer.  Each call raises
+    ``on_newer(objects, source)`` takes what is newer.  Each call raises
     PlatformError.
     """
 
-    def __init__(self, store: ObjectStore, held, hand_on):
+    def __init__(self, store: ObjectStore, held, on_newer):
         self.instances: dict[str, InstanceEntry] = {}
         self._store = store
         self._held = held
-        self._hand_on = hand_on
+        self._on_newer = on_newer
         self._revisions = {}
         self._instance_revision = None
 
@@ -46,9 +46,9 @@
         """Read all objects; what is missing from a list is deleted."""
         for kind in DISSEMINATED_KINDS:
             listing = await self._store.list(kind.value)
-            deleted = self._deleted(kind.value, listing)
+            deleted = self._find_deleted(kind.value, listing)
             objects = [*listing.items, *deleted]
-            self._take(kind.value, objects, listing.revision)
+            self._report_newer(kind.value, objects, listing.revision)
 
     async def watch(self, kind: str, wait_ms: int) -> None:
         """Wait for changes of a kind that was listed.
@@ -62,10 +62,10 @@
         except HistoryGoneError:
             del self._revisions[kind]
             raise
-        objects = [*delta.written, *_removed(kind, delta)]
-        self._take(kind, objects, delta.revision)
+        objects = [*delta.written, *_make_deletions(kind, delta)]
+        self._report_newer(kind, objects, delta.revision)
 
-    def _take(self, kind, objects, revision):
+    def _report_newer(self, kind, objects, revision):
         """Hand on what is newer than what is held."""
         self._revisions[kind] = max(revision, self._revisions.get(kind, 0))
         held = self._held()
@@ -75,9 +75,9 @@
             if item.key not in held or item.version > held[item.key].version
         ]
         if newer:
-            self._hand_on(newer, FROM_STORE)
+            self._on_newer(newer, FROM_STORE)
 
-    def _deleted(self, kind: str, listing: Listing) -> list[StoredObject]:
+    def _find_deleted(self, kind: str, listing: Listing) -> list[StoredObject]:
         """Return deletions of what a whole list no longer has.
 
         What is newer than the list was written since.
@@ -98,8 +98,10 @@
         if self._instance_revision is None:
             listing = await self._store.list(kind)
             self.instances.clear()
-            self._take_instances(
-                listing.items, self._deleted(kind, listing), listing.revision
+            self._update_instances(
+                listing.items,
+                self._find_deleted(kind, listing),
+                listing.revision,
             )
             return
         try:
@@ -109,11 +111,11 @@
         except HistoryGoneError:
             self._instance_revision = None
             return
-        self._take_instances(
-            delta.written, _removed(kind, delta), delta.revision
+        self._update_instances(
+            delta.written, _make_deletions(kind, delta), delta.revision
         )
 
-    def _take_instances(self, written, deleted, revision):
+    def _update_instances(self, written, deleted, revision):
         changed = list(deleted)
         for item in deleted:
             self.instances.pop(item.name, None)
@@ -128,10 +130,10 @@
             changed.append(StoredObject(item.key, item.version, asdict(entry)))
         self._instance_revision = revision
         if changed:
-            self._hand_on(changed, FROM_LIST)
+            self._on_newer(changed, FROM_LIST)
 
 
-def _removed(kind: str, delta: Delta) -> list[StoredObject]:
+def _make_deletions(kind: str, delta: Delta) -> list[StoredObject]:
     return [
         StoredObject(f'{kind}/{name}', delta.revision, None)
         for name in delta.removed
--- a/src/liftmount/_internal/utils/documents.py
+++ b/src/liftmount/_internal/utils/documents.py
@@ -26,7 +26,7 @@
     return parse_endpoint(value)
 
 
-def _strict(kind):
+def _make_strict_hook(kind):
     """Return a hook that takes values of exactly this type."""
 
     def structure(value, _kind):
@@ -44,7 +44,7 @@
     converter.register_structure_hook(Endpoint, _structure_endpoint)
     converter.register_unstructure_hook(Endpoint, str)
     for kind in (int, str, bool):
-        converter.register_structure_hook(kind, _strict(kind))
+        converter.register_structure_hook(kind, _make_strict_hook(kind))
     return converter
 
 
@@ -72,39 +72,39 @@
     try:
         return CONVERTER.structure(document, kind)
     except (ClassValidationError, IterableValidationError) as error:
-        problems = _problems(error, document, source)
+        problems = _list_problems(error, document, source)
     except Exception as error:
         # cattrs lets errors of nested hooks through as they are.
         problems = [Problem(source, '(document)', '', str(error))]
     raise ConfigurationError(problems)
 
 
-def _problems(error, document, source):
+def _list_problems(error, document, source):
     problems = []
-    lines = transform_error(error, path='$', format_exception=_message)
+    lines = transform_error(error, path='$', format_exception=_format_error)
     for line in lines:
         message, _separator, path = line.partition(' @ $')
-        key = _dotted(path)
-        value = _lookup(document, key)
+        key = _to_dotted_key(path)
+        value = _find_value(document, key)
         shown = '' if value is _MISSING else repr(value)
         problems.append(Problem(source, key, shown, message))
     return problems
 
 
-def _message(error, kind):
+def _format_error(error, kind):
     """Return what an operator can act on."""
     if isinstance(error, ValueError) and error.args:
         return str(error)
     return format_exception(error, kind)
 
 
-def _dotted(path):
+def _to_dotted_key(path):
     """Return a path such as ``.a['b'][0]`` as ``a.b[0]``."""
     plain = _QUOTED_KEY.sub(r'.\1', path)
     return plain.lstrip('.') or '(document)'
 
 
-def _lookup(document, key):
+def _find_value(document, key):
     value = document
     for part in key.replace(']', '').replace('[', '.').split('.'):
         try:
--- a/src/liftmount/_internal/utils/import_turns.py
+++ b/src/liftmount/_internal/utils/import_hook.py
@@ -3,17 +3,17 @@
 import sys
 
 
-class ImportTurns:
-    """A context in which ``turn()`` is called before each import.
+class ImportHook:
+    """A context in which ``callback()`` is called before each import.
 
     That bounds the time without a turn by the slowest single import, some
     20 ms on a quarter of a core, where all imports of a balancer's second
     part together take 300.
     """
 
-    def __init__(self, turn):
-        self._turn = turn
-        self._in_turn = False
+    def __init__(self, callback):
+        self._callback = callback
+        self._is_running = False
 
     def __enter__(self):
         sys.meta_path.insert(0, self)
@@ -24,10 +24,10 @@
 
     def find_spec(self, _name, _path=None, _target=None):
         """Take a turn; the other finders find the module."""
-        if self._in_turn:
+        if self._is_running:
             return
-        self._in_turn = True
+        self._is_running = True
         try:
-            self._turn()
+            self._callback()
         finally:
-            self._in_turn = False
+            self._is_running = False
--- a/src/liftmount/_internal/utils/metrics.py
+++ b/src/liftmount/_internal/utils/metrics.py
@@ -62,12 +62,12 @@
 def _histogram_lines(name, label, histogram):
     metric = f'{PREFIX}_{name}'
     lines = []
-    below = 0
+    cumulative = 0
     bounds = [*map(str, BUCKETS_MS), '+Inf']
     for bound, count in zip(bounds, histogram.counts, strict=True):
-        below += count
+        cumulative += count
         labels = f'route="{label}",le="{bound}"'
-        lines.append(f'{metric}_bucket{{{labels}}} {below}')
+        lines.append(f'{metric}_bucket{{{labels}}} {cumulative}')
     lines.append(f'{metric}_sum{{route="{label}"}} {histogram.total:g}')
-    lines.append(f'{metric}_count{{route="{label}"}} {below}')
+    lines.append(f'{metric}_count{{route="{label}"}} {cumulative}')
     return lines
--- a/src/liftmount/platform/initial_lists.py
+++ b/src/liftmount/platform/initial_lists.py
@@ -12,11 +12,11 @@
 from liftmount._internal.exceptions import PlatformError
 from liftmount._internal.models.addresses import Endpoint
 from liftmount._internal.models.feeds import Listing
-from liftmount._internal.models.records import changed
+from liftmount._internal.models.records import evolve
+from liftmount._internal.network.http_messages import encode_request
 from liftmount._internal.network.http_messages import HTTP_OK
 from liftmount._internal.network.http_messages import HttpMessage
 from liftmount._internal.network.http_messages import READ_BYTES
-from liftmount._internal.network.http_messages import request_bytes
 from liftmount._internal.utils.raw_sockets import make_socket
 from liftmount._internal.utils.raw_sockets import SOCK_STREAM
 from liftmount.platform.documents import list_path
@@ -73,7 +73,7 @@
         self._parser = HttpResponseParser(self._message)
         self._path = list_path(self._kind, self._after, may_lag=True)
         # Short enough to fit the send buffer of an idle connection whole.
-        self.socket.send(request_bytes('GET', self._path, self._address))
+        self.socket.send(encode_request('GET', self._path, self._address))
         self.is_request_sent = True
         self._began_ms = None
 
@@ -106,4 +106,4 @@
     def _make_listing(self):
         stored = self._pages.listing(self._clock.now_ms())
         decoded = decode_all(stored.items, self._read, self._record_problems)
-        return changed(stored, items=decoded.accepted, may_lag=True)
+        return evolve(stored, items=decoded.accepted, may_lag=True)
--- a/src/liftmount/platform/settings.py
+++ b/src/liftmount/platform/settings.py
@@ -85,7 +85,7 @@
             change_bound_ms, bounds.number('evacuate_ms', change_bound_ms)
         ),
         regions=fields.string_map('zones'),
-        shares_doubts=HEALTH_CONTRACT in fields.strings('contracts'),
+        reports_stalls=HEALTH_CONTRACT in fields.strings('contracts'),
         link_megabits_per_s=fields.section('limits').float_number(
             'link_mbps', 0
         ),
--- a/src/liftmount/platform/start.py
+++ b/src/liftmount/platform/start.py
@@ -10,7 +10,7 @@
 from liftmount._internal.exceptions import ConfigurationError
 from liftmount._internal.services.startup import create_startup_context
 from liftmount._internal.services.startup import StartupLoop
-from liftmount._internal.utils.import_turns import ImportTurns
+from liftmount._internal.utils.import_hook import ImportHook
 from liftmount.platform import packet_headers
 from liftmount.platform.feeds import SOURCES
 from liftmount.platform.initial_lists import InitialList
@@ -42,7 +42,7 @@
     # Keeps asyncio from loading OpenSSL, which is not used.
     sys.modules.setdefault('ssl', None)
     serving = StartupLoop(startup, lists)
-    with ImportTurns(serving.run_once):
+    with ImportHook(serving.run_once):
         from liftmount.platform.daemon import main
     serving.run_once()
     serving.release_pending_lists()
--- a/src/liftmount/platform/store.py
+++ b/src/liftmount/platform/store.py
@@ -14,7 +14,7 @@
 from liftmount._internal.models.feeds import Delta
 from liftmount._internal.models.feeds import Listing
 from liftmount._internal.models.feeds import StoredObject
-from liftmount._internal.models.records import changed
+from liftmount._internal.models.records import evolve
 from liftmount._internal.network.http import HttpConnection
 from liftmount._internal.network.http_messages import HTTP_BAD_REQUEST
 from liftmount._internal.network.http_messages import HTTP_CONFLICT
@@ -40,7 +40,7 @@
     """The document of a response, the time it took to arrive, its size."""
 
     document: dict
-    lasted_ms: int
+    transfer_ms: int
     size_bytes: int
 
 
@@ -107,7 +107,7 @@
             path = list_path(kind, after, may_lag)
             page = await self._read(path, timeout_ms)
             now_ms = self._clock.now_ms()
-            began_ms = now_ms - page.lasted_ms
+            began_ms = now_ms - page.transfer_ms
             after = pages.add(page.document, began_ms, page.size_bytes)
             if not after:
                 return pages.listing(now_ms)
@@ -129,7 +129,7 @@
         limit_ms = timeout_ms or wait_ms + WATCH_MARGIN_MS
         page = await self._read(object_path(kind, query), limit_ms)
         delta = read_changes(kind, page.document, revision, self._report)
-        return changed(delta, age_ms=page.lasted_ms)
+        return evolve(delta, age_ms=page.transfer_ms)
 
     async def _read(self, path, timeout_ms):
         page = await self._call('GET', path, timeout_ms)
@@ -192,7 +192,7 @@
             document = _check_response(method, path, response)
             if document is None:
                 return None
-            return _Reply(document, response.lasted_ms, len(response.body))
+            return _Reply(document, response.transfer_ms, len(response.body))
         raise PlatformUnavailableError(str(failure)) from failure
 
     async def _exchange(self, address, method, path, timeout_ms, body):
--- a/src/liftmount/platform/store_feed.py
+++ b/src/liftmount/platform/store_feed.py
@@ -4,7 +4,7 @@
 from liftmount._internal.models.entry_settings import EntrySettings
 from liftmount._internal.models.feeds import Delta
 from liftmount._internal.models.feeds import Listing
-from liftmount._internal.models.records import changed
+from liftmount._internal.models.records import evolve
 from liftmount._internal.utils.metrics import Metrics
 from liftmount.platform.feeds import decode_all
 from liftmount.platform.feeds import make_unnamed_recorder
@@ -29,7 +29,7 @@
         """Return all valid objects of the kind; raises PlatformError."""
         listing = await self._store.list(self._kind, may_lag, timeout_ms)
         decoded = self._decode(listing.items)
-        return changed(listing, items=decoded.accepted, may_lag=may_lag)
+        return evolve(listing, items=decoded.accepted, may_lag=may_lag)
 
     async def watch(
         self, revision: int, wait_ms: int, timeout_ms: float
@@ -46,7 +46,7 @@
         decoded = self._decode(delta.written)
         for name in delta.removed:
             self._record_problems(f'{self._kind}/{name}', delta.revision, ())
-        return changed(
+        return evolve(
             delta,
             written=decoded.accepted,
             removed=(*delta.removed, *decoded.rejected),
--- a/tests/features/steps/beliefs_steps.py
+++ b/tests/features/steps/beliefs_steps.py
@@ -10,7 +10,7 @@
 from liftmount._internal.decisions import target_health
 from liftmount._internal.decisions.shutdown import ShutdownState
 from liftmount._internal.decisions.target_health import ProbeResult
-from liftmount._internal.models.records import changed
+from liftmount._internal.models.records import evolve
 from liftmount._internal.models.records import Tick
 from tests.features.steps.forwarding_steps import make_entry
 
@@ -120,7 +120,7 @@
                 event = directory.StoreLost(now_ms)
             case ['written' | 'draining']:
                 is_draining = words == ['draining']
-                written = (changed(entry, draining=is_draining),)
+                written = (evolve(entry, draining=is_draining),)
                 event = directory.TargetsChanged(written, (), revision, now_ms)
             case ['removed']:
                 event = directory.TargetsChanged(
--- a/tests/features/steps/cold_steps.py
+++ b/tests/features/steps/cold_steps.py
@@ -10,7 +10,7 @@
 from liftmount._internal.decisions.slow_start import Fleet
 from liftmount._internal.decisions.slow_start import SlowStartBudget
 from liftmount._internal.models import flow_messages as flows
-from liftmount._internal.models.records import changed
+from liftmount._internal.models.records import evolve
 from liftmount._internal.models.segments import WarmUp
 
 COLD_MS = 2_000
@@ -24,7 +24,7 @@
 @given("each of these bears {rate:d} requests a second, and the balancers' "
        'views {views}')  # fmt: skip
 def stated_rate(context, rate, views):
-    context.case = changed(context.case, per_s=float(rate), views=views)
+    context.case = evolve(context.case, per_s=float(rate), views=views)
 
 
 @when('they place flows for 6 s')
@@ -34,7 +34,7 @@
 
 @when('they place flows for 6 s without a limit')
 def place_without_limit(context):
-    context.case = changed(context.case, way='no limit')
+    context.case = evolve(context.case, way='no limit')
     context.result = run(context.case)
 
 
@@ -91,7 +91,7 @@
     if rate:
         warm_up = WarmUp(float(rate), lasts)
         warm_ups = {entry.service: warm_up for entry in entries(context)}
-    table = changed(
+    table = evolve(
         state.table, version=state.table.version + 1, warm_ups=warm_ups
     )
     context.balancer.feed(flows.RoutesChanged(table, context.balancer.now_ms))
@@ -116,7 +116,7 @@
 
 @when('{name} turns cold')
 def one_turns_cold(context, name):
-    entry = changed(context.entries[name], warm_up_ms=COLD_MS)
+    entry = evolve(context.entries[name], warm_up_ms=COLD_MS)
     context.balancer.put(entry)
 
 
--- a/tests/features/steps/domain_start_steps.py
+++ b/tests/features/steps/domain_start_steps.py
@@ -7,7 +7,7 @@
 from benches.domain_start import Case
 from benches.domain_start import DomainStart
 from benches.domain_start import FEEDS
-from liftmount._internal.models.records import changed
+from liftmount._internal.models.records import evolve
 
 RUN_MS = 15_000
 TROUBLES = {
@@ -25,7 +25,7 @@
 
 @given('{targets:d} targets, for which segments wait')
 def segments_wait(context, targets):
-    context.case = changed(context.case, targets=targets, segments_wait=True)
+    context.case = evolve(context.case, targets=targets, segments_wait=True)
 
 
 @when('all start at once')
@@ -36,7 +36,7 @@
 
 @when('all start at once, and the store {trouble} for {interval:d} s')
 def all_start_in_trouble(context, trouble, interval):
-    context.case = changed(
+    context.case = evolve(
         context.case,
         trouble=TROUBLES[trouble],
         trouble_ms=1_000 * interval,
--- a/tests/features/steps/forwarding_steps.py
+++ b/tests/features/steps/forwarding_steps.py
@@ -23,7 +23,7 @@
 from liftmount._internal.models import flow_messages as flows
 from liftmount._internal.models.addresses import Endpoint
 from liftmount._internal.models.addresses import parse_endpoint
-from liftmount._internal.models.records import changed
+from liftmount._internal.models.records import evolve
 from liftmount._internal.models.records import Tick
 from liftmount._internal.models.segments import Route
 from liftmount._internal.models.segments import RouteKind
@@ -437,7 +437,7 @@
 def target_drains(context):
     context.target = context.balancer.flow(1).target
     entry = context.entries[context.target]
-    context.balancer.put(changed(entry, draining=True))
+    context.balancer.put(evolve(entry, draining=True))
 
 
 @step('the target of client 1 is gone from the list')
--- a/tests/features/steps/proof_steps.py
+++ b/tests/features/steps/proof_steps.py
@@ -17,7 +17,7 @@
 from liftmount._internal.models.feeds import FeedUpdate
 from liftmount._internal.models.feeds import Listing
 from liftmount._internal.models.feeds import TARGETS
-from liftmount._internal.models.records import changed
+from liftmount._internal.models.records import evolve
 from liftmount._internal.models.records import Tick
 from liftmount._internal.services.packet_path import PacketPath
 from liftmount._internal.services.probes import probe
@@ -41,7 +41,7 @@
         regions={},
         packets=Endpoint('127.0.0.1', 1),
         link_megabits_per_s=0.0,
-        shares_doubts=True,
+        reports_stalls=True,
     )
     clock = ManualClock(NOW_MS)
     log = StructuredLog(clock)
@@ -63,7 +63,7 @@
     entry = make_entry('one', 'guide')
     tell(context, Listing((entry,), 10, may_lag='may lag' in leaving))
     if leaving.startswith('drain'):
-        tell(context, Delta((changed(entry, draining=True),), (), 11, 10))
+        tell(context, Delta((evolve(entry, draining=True),), (), 11, 10))
     if 'gone' in leaving:
         tell(context, Delta((), ('one',), 12, 11))
         path.clock.advance(DOUBTED_MS)
@@ -129,7 +129,7 @@
     endpoint = Endpoint(*server.sockets[0].getsockname())
     if does == 'listens no more':
         server.close()
-    entry = changed(make_entry('one', 'guide'), endpoint=endpoint)
+    entry = evolve(make_entry('one', 'guide'), endpoint=endpoint)
     task = asyncio.create_task(probe(Clock(), entry, '/'))
     if 'held up' in does:
         await asyncio.sleep(0)
--- a/tests/features/steps/restart_steps.py
+++ b/tests/features/steps/restart_steps.py
@@ -6,7 +6,7 @@
 
 from liftmount._internal.decisions import directory
 from liftmount._internal.models import flow_messages as flows
-from liftmount._internal.models.records import changed
+from liftmount._internal.models.records import evolve
 from tests.features.steps.forwarding_steps import forwards
 from tests.features.steps.forwarding_steps import make_entry
 
@@ -25,7 +25,7 @@
 def tell_start(balancer, name, started_wall_ms):
     """Tell a balancer when a target started."""
     known = balancer.state.tags.entries[name]
-    entry = changed(known, started_wall_ms=started_wall_ms)
+    entry = evolve(known, started_wall_ms=started_wall_ms)
     balancer.feed(flows.TargetPut(entry, balancer.now_ms))
 
 
@@ -100,7 +100,7 @@
     context.directory = directory.DirectoryState()
     entry = make_entry('one', 'guide', number=1)
     for start, revision in ((first, early), (second, late)):
-        told = changed(entry, started_wall_ms=start)
+        told = evolve(entry, started_wall_ms=start)
         event = directory.TargetsChanged((told,), (), revision, NOW_MS)
         directory.decide(context.directory, event)
 
--- a/tests/features/steps/spreading_steps.py
+++ b/tests/features/steps/spreading_steps.py
@@ -23,7 +23,7 @@
 from liftmount._internal.models.feeds import TARGETS
 from liftmount._internal.models.feeds import TargetUnknown
 from liftmount._internal.models.members import Member
-from liftmount._internal.models.records import changed
+from liftmount._internal.models.records import evolve
 from liftmount._internal.models.records import Tick
 from liftmount._internal.models.segments import Route
 from liftmount._internal.models.segments import RouteKind
@@ -429,7 +429,7 @@
     if changes is None:
         newest = max(one.incarnation for one in context.members.values())
         changes = {'incarnation': newest + 1}
-    context.members[name] = changed(context.members[name], **changes)
+    context.members[name] = evolve(context.members[name], **changes)
 
 
 @then('the relay order is {order}')
--- a/tests/features/steps/start_steps.py
+++ b/tests/features/steps/start_steps.py
@@ -13,7 +13,7 @@
 from behave import when
 
 from bundling.archive import ENTRIES
-from liftmount._internal.utils.import_turns import ImportTurns
+from liftmount._internal.utils.import_hook import ImportHook
 from liftmount.platform.settings import METRICS_PORT
 
 SOURCE = Path('src/liftmount')
@@ -79,7 +79,7 @@
 
     sys.path.insert(0, str(context.directory))
     try:
-        with ImportTurns(turn):
+        with ImportHook(turn):
             importlib.import_module('lm_turns_outer')
         importlib.import_module('chunk')
     finally:
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -260,7 +260,7 @@
     Mutation(
         'transfers: the time of a whole answer is limited',
         'network/http.py',
-        'self._limit.reschedule(now_s + seconds(STALL_MS))',
+        'self._limit.reschedule(now_s + seconds(PROGRESS_TIMEOUT_MS))',
         'pass',
         TRANSFERS,
         'A call ends for want of progress',
