--- a/src/liftmount/_internal/models/addresses.py
+++ b/src/liftmount/_internal/models/addresses.py
@@ -14,7 +14,7 @@
 
 @frozen
 class Endpoint:
-    """An IP number and a port; never a host name."""
+    """An IP address and a port; never a host name."""
 
     ip: str
     port: int
@@ -24,15 +24,15 @@
         return f'{host}:{self.port}'
 
     def socket_address(self):
-        """Return the pair that the socket module expects."""
+        """Return the ``(ip, port)`` pair that the socket module expects."""
         return (self.ip, self.port)
 
 
 @lru_cache(maxsize=65_536)
 def parse_endpoint(text: str) -> Endpoint:
-    """Read ``IP:PORT`` or ``[IPV6]:PORT``.
+    """Parse ``IP:PORT`` or ``[IPV6]:PORT``.
 
-    Raises ValueError with a readable message on anything else.
+    Raises ValueError with a message for the user on anything else.
     """
     host, separator, port_text = text.rpartition(':')
     if not separator or not port_text.isdecimal():
@@ -48,4 +48,4 @@
     try:
         return inet_ntop(family, inet_pton(family, ip))
     except OSError:
-        raise ValueError(f'{ip!r} is not an IP number') from None
+        raise ValueError(f'{ip!r} is not an IP address') from None
--- a/src/liftmount/_internal/models/entry_settings.py
+++ b/src/liftmount/_internal/models/entry_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a balancer that stands at the entry of a platform."""
+"""Settings of an entry balancer, which forwards packets of clients."""
 
 from attrs import Factory
 from attrs import frozen
@@ -8,17 +8,19 @@
 
 @frozen
 class EntrySettings:
-    """What one balancer is told about itself and its surroundings.
+    """Settings of one balancer.
 
-    ``packets`` takes datagrams; clients get resets at its port number.
-    ``peer`` is for other balancers, over UDP and TCP; ``seeds`` are such
-    addresses of a few of them.  ``metrics`` serves counters.  A flow older
-    than ``flow_max_age_ms`` may be forgotten; a planned stop may take
-    ``stop_ms``.  A change of routes or targets has to be in force
-    ``change_bound_ms`` after the store took it.  ``regions`` maps failure
-    domains to the region in which each lies.  ``link_megabits_per_s`` is the
-    rate of the own link each way, 0 if that is not known.  A balancer that
-    ``reports_stalls`` tells the others of targets that give no answer.
+    ``packets`` is the UDP address that receives packets of clients; resets
+    go to the client's address at the same port.  ``readiness`` and
+    ``metrics`` are HTTP addresses.  ``peer`` is for traffic with other
+    balancers, over UDP and TCP; ``seeds`` are the peer addresses of some of
+    them.  State of flows older than ``flow_max_age_ms`` may be dropped.
+    ``stop_ms`` limits a planned stop.  A change of routes or targets must
+    be in force within ``change_bound_ms`` of its write to the store.
+    ``regions`` maps failure domains to their regions.
+    ``link_megabits_per_s`` is the capacity of this balancer's link in each
+    direction, 0 if unknown.  With ``reports_stalls`` the balancer reports
+    unresponsive targets to its peers.
     """
 
     name: str
--- a/src/liftmount/_internal/models/envelopes.py
+++ b/src/liftmount/_internal/models/envelopes.py
@@ -13,7 +13,7 @@
 
 @frozen
 class FabricEnvelope:
-    """A caller's datagram with both its ends, as the fabric hands it on."""
+    """A caller's datagram with its source and destination addresses."""
 
     caller_ip: str
     caller_port: int
@@ -24,7 +24,7 @@
 
 @frozen
 class PeerEnvelope:
-    """A caller's datagram passed on by the balancer ``sender``."""
+    """A caller's datagram that the balancer ``sender`` forwards."""
 
     sender: str
     hops: int
@@ -49,7 +49,7 @@
 
 
 def decode_fabric(datagram: bytes) -> FabricEnvelope:
-    """Read a fabric envelope; raises PacketError on anything else."""
+    """Decode a fabric envelope; raises PacketError on anything else."""
     fields = _load_list(datagram)
     if len(fields) < _FABRIC_FIELDS:
         raise PacketError('fabric envelope is too short')
@@ -78,10 +78,10 @@
 
 
 def decode_peer(datagram: bytes):
-    """Read what a peer sent: a PeerEnvelope, or a membership message.
+    """Decode a datagram from a peer.
 
-    A membership message comes back as the plain list that its own codec
-    reads.  Raises PacketError on anything else.
+    Returns a PeerEnvelope, or the list of a membership message as its own
+    codec expects it.  Raises PacketError on anything else.
     """
     fields = _load_list(datagram)
     if len(fields) == 2 and fields[0] == PEER_MEMBERSHIP:
@@ -100,7 +100,7 @@
     except Exception as error:
         raise PacketError(f'not CBOR: {error}') from error
     if type(fields) is not list or not fields:
-        raise PacketError('not a list')
+        raise PacketError('not a CBOR list')
     return fields
 
 
--- a/src/liftmount/_internal/models/messages.py
+++ b/src/liftmount/_internal/models/messages.py
@@ -11,7 +11,7 @@
 
 @frozen
 class ForwardPacket:
-    """Send a caller's packet to another balancer."""
+    """Forward a caller's packet to another balancer."""
 
     peer: str
     envelope: PeerEnvelope
@@ -19,14 +19,14 @@
 
 @frozen
 class PacketForwarded:
-    """Another balancer passed a caller's packet on."""
+    """Another balancer forwarded a caller's packet to this one."""
 
     envelope: PeerEnvelope
 
 
 @frozen
 class ObjectsReceived:
-    """Objects came from the platform or from a peer."""
+    """Objects were received from ``source``: the platform or a peer."""
 
     objects: list[StoredObject]
     source: str
@@ -34,7 +34,10 @@
 
 @frozen
 class ConfigurationChanged:
-    """Another configuration is in force on this balancer."""
+    """A new configuration is in force on this balancer.
+
+    ``changed`` holds the objects that differ from the one before.
+    """
 
     view: ConfigurationView
     revision: int
@@ -44,7 +47,7 @@
 
 @frozen
 class MembersChanged:
-    """The group of balancers has changed, as far as this one knows."""
+    """The membership view of this balancer has changed."""
 
     own: Member
     members: dict[str, Member]
@@ -53,28 +56,28 @@
 
 @frozen
 class PullObjects:
-    """Ask a peer for the objects that this balancer lacks."""
+    """Request the objects that this balancer lacks from a peer."""
 
     member: Member
 
 
 @frozen
 class PlatformReachabilityChanged:
-    """Whether the platform could be reached has changed."""
+    """The platform became reachable or unreachable."""
 
     is_reached: bool
 
 
 @frozen
 class AppliedDigestsChanged:
-    """Which balancers of the failure domain hold which configuration."""
+    """Digests of the configuration that each balancer of the domain holds."""
 
     digests: dict[str, bytes]
 
 
 @frozen
 class TargetConnected:
-    """A connection to a target is open and its identity was checked."""
+    """A connection to a target is open and its identity verified."""
 
     target: str
     incarnation: int
@@ -82,7 +85,7 @@
 
 @frozen
 class TargetDraining:
-    """A target says itself that it leaves, or that it stays after all."""
+    """A target announced that it drains, or cancelled its drain."""
 
     target: str
     is_draining: bool
@@ -95,12 +98,12 @@
 
 @frozen
 class ShutdownCancelled:
-    """The operator wants this balancer back."""
+    """The operator cancelled the planned stop."""
 
 
 @frozen
 class Inspect:
-    """The command-line tool asks what this balancer knows."""
+    """Request for this balancer's state; ``answer`` is a future."""
 
     subject: str
     argument: str
--- a/src/liftmount/_internal/models/packets.py
+++ b/src/liftmount/_internal/models/packets.py
@@ -1,8 +1,8 @@
 """Packets between callers and balancers, and their CBOR form.
 
 A packet is a CBOR map (RFC 8949) with small integer keys.  Key 0 holds the
-version of the protocol and key 1 the kind.  Unknown keys are ignored, so
-that balancers of neighbouring versions understand each other.
+protocol version and key 1 the kind.  Unknown keys are ignored, so that
+balancers of adjacent versions interoperate.
 """
 
 from enum import IntEnum
@@ -26,7 +26,7 @@
 
 
 class Kind(IntEnum):
-    """The kinds of packets, as numbered on the wire."""
+    """Packet kinds, as numbered on the wire."""
 
     OPEN = 1
     OPENED = 2
@@ -50,10 +50,11 @@
 
 @frozen
 class Open:
-    """Ask for a flow to the service behind the packet's address.
+    """Request a flow to the service at the packet's address.
 
     ``flow_id`` is chosen by the caller.  ``token`` is that of the flow to
-    be replaced, when there is one, so that a stream keeps its target.
+    replace, if any, so that a stream keeps its target.  For a stream,
+    ``name`` identifies it and ``sequence`` is the last event received.
     """
 
     KIND = Kind.OPEN
@@ -67,8 +68,8 @@
 class Opened:
     """The flow is open; every later packet carries ``token``.
 
-    ``grant`` tells one grant from another: a flow that was asked for
-    twice may have been opened twice, and the caller keeps only one.
+    ``grant`` identifies the grant: a retried ``Open`` may open a flow
+    twice, and the caller keeps only one of them.
     """
 
     KIND = Kind.OPENED
@@ -79,9 +80,10 @@
 
 @frozen
 class Request:
-    """One piece of a request.  ``number`` counts up within a token.
+    """One piece of a request.  ``number`` increases within a token.
 
-    A packet without a token is found by its caller and ``flow_id``.
+    The flow of a packet without a token is looked up by its caller and
+    ``flow_id``.
     """
 
     KIND = Kind.REQUEST
@@ -111,7 +113,7 @@
 
 @frozen
 class Cancel:
-    """Nobody waits for request ``number`` any more."""
+    """The caller no longer waits for request ``number``."""
 
     KIND = Kind.CANCEL
     number: int = wire(5, int)
@@ -142,7 +144,7 @@
 
 @frozen
 class Close:
-    """The caller keeps this token no longer."""
+    """The caller no longer uses this token."""
 
     KIND = Kind.CLOSE
     token: bytes = wire(3, bytes, b'', limit=MAX_TOKEN_BYTES)
@@ -151,7 +153,7 @@
 
 @frozen
 class Refused:
-    """A flow or packet was refused; says nothing on whether it ran."""
+    """A flow or packet was refused; a request may have run nonetheless."""
 
     KIND = Kind.REFUSED
     flow_id: bytes = wire(2, bytes, b'', limit=MAX_FLOW_ID_BYTES)
@@ -162,7 +164,7 @@
 
 @frozen
 class Rebind:
-    """Open a new flow now; this one goes on until the new one is open."""
+    """Ask the caller to open a new flow; this one works until then."""
 
     KIND = Kind.REBIND
     flow_id: bytes = wire(2, bytes, limit=MAX_FLOW_ID_BYTES)
@@ -204,7 +206,7 @@
 def encode_packet(packet) -> bytes:
     """Return the CBOR form of a packet.
 
-    Fields that hold their default are left out.
+    Fields with their default value are omitted.
     """
     fields = {VERSION_KEY: PROTOCOL_VERSION, KIND_KEY: int(packet.KIND)}
     for name, key, _kind, default, _limit in _ENCODE_LAYOUTS[type(packet)]:
@@ -215,24 +217,24 @@
 
 
 def decode_packet(datagram: bytes):
-    """Read one packet.
+    """Decode one packet.
 
-    Raises PacketError on anything that is not a packet of this protocol;
-    nothing of such a datagram is used.
+    Raises PacketError on anything that is not a valid packet of this
+    protocol.
     """
     try:
         fields = cbor2.loads(datagram)
     except Exception as error:
-        # The decoder raises many kinds on hostile input (RecursionError,
-        # OverflowError, UnicodeDecodeError); all mean the same here.
+        # cbor2 raises more than CBORDecodeError on hostile input:
+        # RecursionError, OverflowError, UnicodeDecodeError.
         raise PacketError(f'not CBOR: {error}') from error
     if type(fields) is not dict:
-        raise PacketError('not a map')
+        raise PacketError('not a CBOR map')
     if fields.get(VERSION_KEY) != PROTOCOL_VERSION:
-        raise PacketError('another protocol version')
+        raise PacketError('unsupported protocol version')
     kind = fields.get(KIND_KEY)
     if type(kind) is not int or kind not in _LAYOUTS:
-        raise PacketError('unknown kind')
+        raise PacketError('unknown packet kind')
     packet_class, layout = _LAYOUTS[kind]
     values = []
     for name, key, kind, default, limit in layout:
@@ -261,7 +263,7 @@
 
 
 def split_body(body: bytes) -> list[bytes]:
-    """Cut a body into pieces that fit a datagram; at least one piece."""
+    """Split a body into pieces that fit a datagram; at least one."""
     if not body:
         return [b'']
     starts = range(0, len(body), PIECE_BYTES)
--- a/src/liftmount/_internal/models/settings.py
+++ b/src/liftmount/_internal/models/settings.py
@@ -19,7 +19,7 @@
 
 @frozen
 class InstanceSettings:
-    """Who this instance is and where it stands."""
+    """Name and location of this instance."""
 
     name: str = checked(checks.name, help_text='Unique name.')
     failure_domain: str = checked(
@@ -41,7 +41,7 @@
 
 @frozen
 class AdvertiseSettings:
-    """Addresses under which peers reach the daemon, if not those bound."""
+    """Addresses announced to peers, where they differ from those bound."""
 
     peer: Endpoint | None = checked(None, None, 'UDP, other balancers.')
     control: Endpoint | None = checked(None, None, 'TCP, control traffic.')
@@ -49,14 +49,14 @@
 
 @frozen
 class FabricSettings:
-    """Where packets to callers are handed to the fabric."""
+    """Address of the fabric that takes packets to callers."""
 
     return_address: Endpoint = checked(None, help_text='UDP, to callers.')
 
 
 @frozen
 class PlatformSettings:
-    """How the platform's store is reached."""
+    """Addresses and timeouts of the platform's store."""
 
     addresses: list[Endpoint] = checked(
         lambda value: None if value else 'expected at least one',
@@ -77,7 +77,7 @@
 
 @frozen
 class SeedSettings:
-    """A peer known beforehand, from which the others are learnt."""
+    """A configured peer, from which the others are discovered."""
 
     peer: Endpoint = checked(None, help_text='UDP address of the seed.')
     control: Endpoint = checked(None, help_text='TCP address of the seed.')
@@ -85,7 +85,7 @@
 
 @frozen
 class StatsdSettings:
-    """Where counters are sent; without it they are only logged."""
+    """Address that counters are sent to; without it they are logged."""
 
     address: Endpoint = checked(None, help_text='UDP address of statsd.')
     prefix: str = checked(None, 'liftmount', 'First part of each name.')
@@ -93,7 +93,7 @@
 
 @frozen
 class LogSettings:
-    """How much is logged."""
+    """Verbosity of the log."""
 
     level: str = checked(
         checks.one_of('debug', 'info', 'warning', 'error'),
@@ -141,7 +141,7 @@
 
 @frozen
 class LeaseSettings:
-    """Times of the lease of a failure domain."""
+    """Durations of a failure domain's lease and of its token keys."""
 
     duration_ms: int = checked(
         checks.between(500, 600_000), 4_000, 'Length of the lease.'
@@ -158,7 +158,7 @@
 
 @frozen
 class MembershipSettings:
-    """Times of the failure detector."""
+    """Timing of the failure detector (SWIM)."""
 
     period_ms: int = checked(
         checks.between(20, 60_000), 500, 'Interval between probes.'
--- a/src/liftmount/_internal/network/__init__.py
+++ b/src/liftmount/_internal/network/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets and frames: UDP, HTTP, what daemons, targets and callers say."""
+"""Sockets and wire formats: UDP, HTTP, frames, and the caller library."""
--- a/src/liftmount/_internal/network/caller_flow.py
+++ b/src/liftmount/_internal/network/caller_flow.py
@@ -1,4 +1,4 @@
-"""A flow as its caller sees it."""
+"""Caller-side state of a flow."""
 
 import asyncio
 
@@ -11,6 +11,7 @@
 from liftmount._internal.models.packets import Refused
 from liftmount._internal.models.reasons import Reason
 
+# Refusals that a retry cannot change.
 FINAL_REFUSALS = frozenset(
     {
         Reason.UNKNOWN_ADDRESS.value,
@@ -21,7 +22,7 @@
 
 
 class StreamEnded(LiftmountError):
-    """A stream cannot go on; ``reason`` tells why."""
+    """A stream cannot continue, for ``reason``."""
 
     def __init__(self, reason: str):
         super().__init__(reason)
@@ -30,7 +31,7 @@
 
 @frozen
 class StreamEvent:
-    """One event of a stream, in order and without gaps."""
+    """One event of a stream, delivered in order and without gaps."""
 
     sequence: int
     body: bytes
@@ -38,7 +39,15 @@
 
 @define(eq=False)
 class CallerFlow:
-    """One flow as its caller sees it."""
+    """One flow on the caller's side.
+
+    ``inbox`` queues packets for the reader of a stream.  ``waiting`` maps
+    request numbers to futures of their outcomes, ``refusals`` to the count
+    of refusals received.  ``last_received_ms`` is when the home last sent
+    a packet.  ``opened`` is set by each grant, refusal or Rebind that
+    arrives; ``refusal`` is the last refusal.  A retired flow takes no new
+    requests.
+    """
 
     address: Endpoint
     flow_id: bytes
--- a/src/liftmount/_internal/network/client.py
+++ b/src/liftmount/_internal/network/client.py
@@ -1,8 +1,8 @@
-"""The caller's side: requests with verdicts, and streams that go on.
+"""The caller library: requests with verdicts, and resumable streams.
 
-Packets are sent again until answered, always under the same token and
-number, so the flow's home sees through copies.  A request that may not be
-repeated is sent under exactly one token and number.
+Packets are resent until answered, always under the same token and number,
+so that the flow's home can discard duplicates.  A request that may not be
+repeated is only ever sent under one token and number.
 """
 
 import asyncio
@@ -42,11 +42,11 @@
 FLOW_ID_BYTES = 8
 RESEND_FIRST_MS = 150
 RESEND_MAX_MS = 1_000
-# Without word from the home for this long, ask before sending a request
-# that may not be repeated: a home that is gone would leave it in doubt.
+# Probe a home that was silent for longer before sending it a request that
+# may not be repeated: if it is gone, the request's outcome stays unknown.
 HOME_LIVENESS_TTL_MS = 300
-# Several balancers must say that the home is gone, since one that is cut
-# off from the home says so too.
+# Refusals with HOME_GONE before a request is given up: a balancer that is
+# partitioned from the home sends them too.
 HOME_GONE_LIMIT = 3
 
 
@@ -54,7 +54,7 @@
     """Requests and streams of one caller, over one UDP socket.
 
     Use it as an asynchronous context manager.  ``local`` is the address
-    to bind; its port may be 0.
+    to bind; port 0 takes any free port.
     """
 
     def __init__(self, local: Endpoint | None = None, clock=None):
@@ -89,10 +89,12 @@
         deadline_ms: int,
         repeatable: bool = False,
     ) -> Outcome:
-        """Run a request and return its outcome, by the deadline at most.
+        """Run a request and return its Outcome within ``deadline_ms``.
 
-        Cancelling the task that waits here cancels the request.  Raises
-        ValueError for a body above ``MAX_BODY_BYTES``.
+        With ``repeatable``, the request is sent again when its verdict is
+        MAY_HAVE_RUN, within the retry budget.  Cancelling the awaiting
+        task cancels the request.  Raises ValueError for a body above
+        ``MAX_BODY_BYTES``.
         """
         if len(body) > MAX_BODY_BYTES:
             raise ValueError(f'body is above {MAX_BODY_BYTES} bytes')
@@ -117,7 +119,7 @@
         return self.budget.spend()
 
     async def _get_ready_flow(self, address, give_up_ms, repeatable):
-        """Return an open flow whose home is there, or an Outcome."""
+        """Return an open flow whose home is alive, or an Outcome."""
         while True:
             flow = self._request_flows.get(address)
             if flow is None or flow.is_retired:
@@ -134,7 +136,7 @@
             self._retire(flow)
 
     async def _open_request_flow(self, address, give_up_ms):
-        """Open one flow for all requests that wait for one."""
+        """Open the flow that all requests to an address share."""
         task = self._opening.get(address)
         if task is None:
             task = asyncio.create_task(self.open_flow(address, give_up_ms))
@@ -147,13 +149,14 @@
         return flow
 
     def keep_task(self, task):
+        """Keep a reference to a task; it is cancelled on exit."""
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def open_flow(
         self, address, give_up_ms, name=b'', sequence=0, token=b''
     ):
-        """Open a flow; return it, or an Outcome that nothing was run."""
+        """Open a flow; return it, or a NOT_RUN Outcome if that failed."""
         flow_id = secrets.token_bytes(FLOW_ID_BYTES)
         flow = CallerFlow(address, flow_id, is_stream=bool(name))
         self.flows[flow_id] = flow
@@ -176,7 +179,7 @@
         return _open_failure(flow)
 
     async def _is_home_alive(self, flow, give_up_ms):
-        """Ask the home for a sign of life before committing to it."""
+        """Probe the home with keepalives; return whether it answered."""
         last_received_ms = flow.last_received_ms
         packet = Keepalive(flow.flow_id, flow.token)
         for _attempt in range(HOME_GONE_LIMIT + 1):
@@ -241,7 +244,7 @@
             wait_ms = min(RESEND_MAX_MS, wait_ms * 3 // 2)
 
     def _retire(self, flow):
-        """Use a flow for no further request."""
+        """Stop using a flow for new requests."""
         flow.is_retired = True
         if self._request_flows.get(flow.address) is flow:
             del self._request_flows[flow.address]
@@ -249,6 +252,7 @@
             self.close_flow(flow)
 
     def close_flow(self, flow):
+        """Remove a flow and send a Close to its home."""
         if self.flows.pop(flow.flow_id, None) is not None and flow.token:
             self.send(flow, Close(flow.token, flow.flow_id))
 
@@ -261,7 +265,7 @@
         sequence: int = 0,
         deadline_ms: int = 10_000,
     ):
-        """Open the stream ``name`` from after ``sequence``.
+        """Open the stream ``name`` at the event after ``sequence``.
 
         Raises StreamEnded when no flow could be opened in time.
         """
@@ -273,6 +277,7 @@
     # Packets.
 
     def send(self, flow, packet):
+        """Send a packet to the address of a flow."""
         data = encode_packet(packet)
         self._socket.send(data, flow.address.socket_address())
 
@@ -302,10 +307,10 @@
                 flow.inbox.put_nowait(packet)
 
     def _on_opened(self, flow, packet):
-        """Keep one grant; close any other that the flow was given.
+        """Keep one grant of a flow and close any other.
 
-        Requests stay under their token, whatever else is granted.  A
-        stream follows the balancer that took it over.
+        A flow of requests keeps its first token.  A stream switches to the
+        latest one, since another balancer may have become its home.
         """
         if flow.token and packet.grant != flow.grant:
             unwanted = packet.token
@@ -360,7 +365,7 @@
     try:
         return Reason(text)
     except ValueError:
-        # A newer balancer may know reasons that this caller does not.
+        # Balancers of later versions may send reasons unknown here.
         return None
 
 
@@ -387,7 +392,7 @@
 
 
 def _final_outcome(outcome, may_have_run):
-    """Say NOT_RUN only if no earlier copy of the request is in doubt."""
+    """Return NOT_RUN only if no earlier attempt may have run."""
     if not may_have_run or outcome.verdict is not Verdict.NOT_RUN:
         return outcome
     return Outcome(Verdict.MAY_HAVE_RUN, reason=outcome.reason)
--- a/src/liftmount/_internal/network/control_frames.py
+++ b/src/liftmount/_internal/network/control_frames.py
@@ -1,4 +1,4 @@
-"""Frames of control traffic between balancers, and with the tool."""
+"""Control frames between balancers, and with the command-line tool."""
 
 from attrs import Factory
 from attrs import frozen
@@ -9,14 +9,14 @@
 
 @frozen
 class SyncRequest:
-    """Ask for the objects newer than ``versions``, once."""
+    """Request the objects newer than ``versions``, once."""
 
     versions: dict
 
 
 @frozen
 class Subscribe:
-    """Ask for newer objects, and for all changes from now on."""
+    """Request newer objects and all subsequent changes."""
 
     name: str
     versions: dict
@@ -32,14 +32,14 @@
 
 @frozen
 class Applied:
-    """Digests of the configuration held, by balancer, of a subtree."""
+    """Configuration digests of a relay subtree, by balancer name."""
 
     digests: dict
 
 
 @frozen
 class InspectRequest:
-    """The tool asks about ``subject``."""
+    """Request of the tool for the state of ``subject``."""
 
     subject: str
     argument: str = ''
@@ -47,7 +47,7 @@
 
 @frozen
 class InspectAnswer:
-    """The answer to the tool, as a plain document."""
+    """The answer to an InspectRequest, as a plain document."""
 
     document: dict
 
@@ -68,5 +68,5 @@
 
 
 def unpack_objects(rows) -> list[StoredObject]:
-    """Read the wire form of stored objects."""
+    """Return the stored objects of their wire form."""
     return [StoredObject(str(k), int(v), value) for k, v, value in rows]
--- a/src/liftmount/_internal/network/frames.py
+++ b/src/liftmount/_internal/network/frames.py
@@ -1,7 +1,7 @@
 """CBOR frames of typed messages over websockets.
 
-A frame is the list ``[tag, field, ...]``; further fields are ignored, and
-missing ones take their defaults, so neighbouring versions can talk.
+A frame is the list ``[tag, field, ...]``.  Extra fields are ignored and
+missing ones take their defaults, so adjacent versions interoperate.
 """
 
 import attrs
@@ -11,7 +11,7 @@
 
 
 class FrameCodec:
-    """Encodes and decodes the message classes given, by their tags."""
+    """Encodes and decodes attrs classes, given by tag."""
 
     def __init__(self, **classes):
         self._classes = classes
@@ -28,7 +28,7 @@
         return cbor2.dumps([self._tags[kind], *values])
 
     def decode(self, frame: bytes):
-        """Read a frame; raises PacketError when it is not one of ours."""
+        """Decode a frame; raises PacketError if it is not a known one."""
         try:
             tag, *values = cbor2.loads(frame)
             kind = self._classes[tag]
--- a/src/liftmount/_internal/network/http.py
+++ b/src/liftmount/_internal/network/http.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 over asyncio streams, with httptools for the protocol.
+"""HTTP/1.1 client connection and server over asyncio streams.
 
-One client connection and one small server; both import little, since a
-balancer serves packets only after its first calls.
+httptools parses the protocol.  A full HTTP library is not used because its
+import would delay the start of a balancer.
 """
 
 import asyncio
@@ -21,22 +21,19 @@
 from liftmount._internal.network.http_messages import READ_BYTES
 from liftmount._internal.utils.raw_sockets import RawSocket
 
-# A peer that a cut hides is noticed after this long; both the data that is
-# not acknowledged and an idle connection count.
+# TCP_USER_TIMEOUT; the keepalive settings detect dead peers of idle
+# connections after about the same time.
 DEAD_PEER_MS = 2_500
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 2
-# An answer that has begun is given up once no byte of it came for this long,
-# never for the time it takes as a whole: its size is up to who wrote what is
-# read.  A list of 1,700 routes takes 1.1 s on a link of 2 Mbit/s; with a
-# limit of 1 s on all of it no balancer on such a link ever got one.  A lost
-# packet holds bytes up for some 0.3 s.
+# Longest pause within a response.  Its total time has no limit, since large
+# lists take long on slow links.
 PROGRESS_TIMEOUT_MS = 1_000
 
 
 def watch_for_dead_peer(raw: socket.socket) -> None:
-    """Let the kernel break connections whose peer is silent."""
+    """Enable keepalives and timeouts that detect an unreachable peer."""
     raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, DEAD_PEER_MS)
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
@@ -49,10 +46,10 @@
 
 
 async def _read_message(reader, parser, message, on_progress=None) -> bool:
-    """Read one message; False if the peer closed before it began.
+    """Read one message; return False if the peer closed before it began.
 
-    ``on_progress()`` is called for each part.  Raises ConnectionResetError
-    if the peer broke off in the middle.
+    ``on_progress()`` is called for each chunk.  Raises
+    ConnectionResetError if the peer closes within the message.
     """
     has_begun = False
     while not message.is_complete:
@@ -69,10 +66,10 @@
 
 
 class _ProgressTimeout:
-    """Ends a call that makes no progress.
+    """Extends the timeout of a call while its response arrives.
 
-    ``limit`` is that of asyncio.timeout, which ends the call at first when
-    no answer begins.
+    ``limit`` is an asyncio.Timeout that bounds the time until the first
+    byte of the response.
     """
 
     def __init__(self, limit: asyncio.Timeout):
@@ -81,21 +78,21 @@
         self._began_s = None
 
     def extend(self) -> None:
-        """Wait on, as a part of the answer has come."""
+        """Restart the timeout after a chunk of the response."""
         now_s = self._loop.time()
         if self._began_s is None:
             self._began_s = now_s
         self._limit.reschedule(now_s + seconds(PROGRESS_TIMEOUT_MS))
 
     def elapsed_ms(self) -> int:
-        """Return the time since the first part of the answer."""
+        """Return the time since the first chunk of the response."""
         return round((self._loop.time() - self._began_s) * MS_PER_SECOND)
 
 
 async def wait_for_socket(
     socket: RawSocket, for_writing: bool, timeout_ms: float
 ) -> None:
-    """Return once a socket can be read or written; raises TimeoutError."""
+    """Wait until a socket is readable or writable; raises TimeoutError."""
     loop = asyncio.get_running_loop()
     add, remove = loop.add_reader, loop.remove_reader
     if for_writing:
@@ -110,11 +107,11 @@
 
 
 class HttpConnection:
-    """One connection to a server, opened when needed, one call at once.
+    """A persistent connection to a server, for one call at a time.
 
-    After an error or a time-out it is closed: an answer that comes late
-    must not be taken for that of the next call.  ``local_ip`` is the
-    address that it is made from, if that matters.
+    It is opened on demand, and closed after an error or a timeout so that
+    a late response is not taken for that of the next call.  ``local_ip``
+    is the source address to bind, if any.
     """
 
     def __init__(self, address: Endpoint, local_ip: str = ''):
@@ -130,10 +127,10 @@
         timeout_ms: float,
         body: bytes = b'',
     ) -> HttpAnswer:
-        """Return the answer to one call; raises HttpError without one.
+        """Send a request and return the response; raises HttpError.
 
-        It has to begin within ``timeout_ms``, and to go on without a pause
-        of STALL_MS.
+        The response must begin within ``timeout_ms`` and then arrive
+        without a pause longer than ``PROGRESS_TIMEOUT_MS``.
         """
         try:
             async with asyncio.timeout(seconds(timeout_ms)) as limit:
@@ -149,7 +146,7 @@
             raise
 
     async def open(self) -> None:
-        """Connect unless connected; raises OSError."""
+        """Connect unless already connected; raises OSError."""
         if self._writer is not None and not self._writer.is_closing():
             return
         local = (self._local_ip, 0) if self._local_ip else None
@@ -160,11 +157,11 @@
 
     @property
     def is_open(self) -> bool:
-        """Tell whether the server accepted the connection."""
+        """Whether the connection is established."""
         return self._writer is not None
 
     def close(self) -> None:
-        """Drop the connection."""
+        """Close the connection."""
         if self._writer is not None:
             self._writer.close()
         self._writer = None
@@ -198,7 +195,7 @@
     async def start(
         self, address: Endpoint, bound: RawSocket | None = None
     ) -> None:
-        """Serve at an address, on a socket that is bound to it if given."""
+        """Listen on an address, or on a socket already bound to it."""
         if bound is None:
             self._server = await asyncio.start_server(
                 self._serve, address.ip, address.port
@@ -208,7 +205,7 @@
         self._server = await asyncio.start_server(self._serve, sock=full)
 
     def close(self) -> None:
-        """Stop taking connections."""
+        """Stop accepting connections."""
         if self._server is not None:
             self._server.close()
 
@@ -217,7 +214,7 @@
             while await self._serve_one(reader, writer):
                 pass
         except (OSError, HttpParserError, asyncio.CancelledError):
-            # The caller broke off or spoke something else, or we stop.
+            # The client disconnected or sent invalid HTTP, or we stop.
             pass
         finally:
             writer.close()
--- a/src/liftmount/_internal/network/http_messages.py
+++ b/src/liftmount/_internal/network/http_messages.py
@@ -1,7 +1,7 @@
-"""Messages of HTTP/1.1, for whoever moves their bytes.
+"""HTTP/1.1 messages, independent of how their bytes are transferred.
 
-httptools reads them; nothing here waits, so that a balancer can call the
-store before an event loop is imported.
+There is no I/O here, so that a balancer can call the store before it
+imports asyncio.
 """
 
 from attrs import frozen
@@ -18,15 +18,15 @@
 HTTP_UNAVAILABLE = 503
 USER_AGENT = 'liftmount'
 READ_BYTES = 65_536
-# The store lists about 1 MB at once, and holds values of up to 1 MB.
+# Well above the store's limits on a page and on a value.
 MAX_BODY_BYTES = 16 * 1_048_576
 
 
 @frozen
 class HttpAnswer:
-    """Status, headers with lower-case names, and the whole body.
+    """A response: status, headers with lower-case names, whole body.
 
-    ``transfer_ms`` is how long it took to arrive, from its first byte on.
+    ``transfer_ms`` is the time from its first to its last byte.
     """
 
     status: int
@@ -36,7 +36,7 @@
 
 
 class HttpMessage:
-    """Collects one message as a parser of httptools calls back."""
+    """Collects one message from the callbacks of an httptools parser."""
 
     def __init__(self):
         self.target = ''
@@ -45,28 +45,31 @@
         self.is_complete = False
 
     def on_url(self, url: bytes) -> None:
-        """Take over a part of the target of a request."""
+        """Append a part of the request target."""
         self.target += url.decode('latin-1')
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take over a header."""
+        """Store a header."""
         self.headers[name.decode('latin-1').lower()] = value.decode('latin-1')
 
     def on_body(self, body: bytes) -> None:
-        """Take over a part of the body."""
+        """Append a part of the body.
+
+        Raises ConnectionAbortedError above ``MAX_BODY_BYTES``.
+        """
         self.body += body
         if len(self.body) > MAX_BODY_BYTES:
             raise ConnectionAbortedError('the body is too long')
 
     def on_message_complete(self) -> None:
-        """Note that the message is whole."""
+        """Mark the message as complete."""
         self.is_complete = True
 
 
 def encode_request(
     method: str, target: str, address: Endpoint, body: bytes = b''
 ) -> bytes:
-    """Return a whole request; a body is JSON."""
+    """Return the bytes of a request; the body is JSON if there is one."""
     lines = [
         f'{method} {target} HTTP/1.1',
         f'Host: {address}',
--- a/src/liftmount/_internal/network/stream.py
+++ b/src/liftmount/_internal/network/stream.py
@@ -1,4 +1,4 @@
-"""A stream as its caller sees it."""
+"""Caller side of a stream."""
 
 import asyncio
 
@@ -13,7 +13,9 @@
 from liftmount._internal.network.caller_flow import StreamEvent
 
 KEEPALIVE_MS = 1_000
+# Wait for reordered events before a gap is reported by a keepalive.
 REORDER_WAIT_MS = 80
+# How long the replaced flow stays open after a rebind.
 REBIND_OVERLAP_MS = 1_500
 REBIND_TIMEOUT_MS = 10_000
 MAX_BUFFERED_EVENTS = 4_096
@@ -22,7 +24,9 @@
 class Stream:
     """Events of one stream, in order, across changes of home and target.
 
-    Iterate over it asynchronously; ``close`` ends it.
+    Iterate over it asynchronously; iteration raises StreamEnded when the
+    stream cannot continue.  ``sequence`` is that of the last event
+    queued in order, ``rebinds`` counts changes of the flow.
     """
 
     def __init__(self, client, address, name, sequence):
@@ -40,7 +44,7 @@
         self.rebinds = 0
 
     async def open(self, deadline_ms: int) -> None:
-        """Open the first flow of the stream."""
+        """Open the first flow; raises StreamEnded if that fails."""
         give_up_ms = self._client.clock.now_ms() + deadline_ms
         flow = await self._client.open_flow(
             self._address, give_up_ms, self._name, self.sequence
@@ -69,7 +73,7 @@
 
     async def _on_push(self, flow, packet):
         if flow is self._flow and self._old_flows:
-            # The new flow delivers, so the old ones may go.
+            # The new flow delivers events: close the ones it replaced.
             for old in self._old_flows:
                 self._client.close_flow(old)
             self._old_flows.clear()
@@ -90,7 +94,7 @@
         self._client.keep_task(self._rebind_task)
 
     async def _rebind(self, old):
-        """Make the new flow before the old one is broken."""
+        """Open a new flow while the old one still delivers events."""
         try:
             give_up_ms = self._client.clock.now_ms() + REBIND_TIMEOUT_MS
             flow = await self._client.open_flow(
@@ -112,7 +116,7 @@
             self._rebind_task = None
 
     async def keep_alive(self) -> None:
-        """Send keepalives, sooner while an event is missing."""
+        """Send keepalives periodically, and early when events are missing."""
         while not self._closed:
             self._send_keepalive()
             self._close_expired_flows()
@@ -120,7 +124,7 @@
             try:
                 async with asyncio.timeout(seconds(KEEPALIVE_MS)):
                     await self._gap_detected.wait()
-                    # What is missing may only be late.
+                    # The missing events may only be reordered.
                     await asyncio.sleep(seconds(REORDER_WAIT_MS))
             except TimeoutError:
                 pass
@@ -141,7 +145,7 @@
         await self._events.put(StreamEnded(reason))
 
     def close(self) -> None:
-        """Give the stream up."""
+        """Close the stream and its flows."""
         self._closed = True
         for flow in [*self._old_flows, self._flow]:
             self._client.close_flow(flow)
--- a/src/liftmount/_internal/network/target_frames.py
+++ b/src/liftmount/_internal/network/target_frames.py
@@ -7,9 +7,9 @@
 
 @frozen
 class TargetHello:
-    """The first frame: who the target is.  Checked before any other.
+    """The target's first frame: its identity, verified before any other.
 
-    ``is_draining`` tells at once that it takes no new work.
+    ``is_draining`` means that it takes no new work from the start.
     """
 
     name: str
@@ -21,7 +21,7 @@
 
 @frozen
 class TargetRequest:
-    """Run a request; the home writes each request id once."""
+    """Run a request; the home sends each request id only once."""
 
     request_id: int
     service: str
@@ -32,7 +32,7 @@
 
 @frozen
 class TargetCancel:
-    """Nobody waits for the request any more."""
+    """The caller no longer waits for the request."""
 
     request_id: int
 
@@ -56,7 +56,7 @@
 
 @frozen
 class StreamAttach:
-    """Push the stream ``name`` from after ``sequence`` on."""
+    """Start pushing the stream ``name``, after event ``sequence``."""
 
     nonce: int
     service: str
@@ -66,7 +66,7 @@
 
 @frozen
 class StreamDetach:
-    """Push the stream no longer."""
+    """Stop pushing the stream."""
 
     nonce: int
 
@@ -82,7 +82,7 @@
 
 @frozen
 class DrainNotice:
-    """The target is about to leave, or stays after all."""
+    """The target begins to drain, or cancels its drain."""
 
     is_draining: bool
 
--- a/src/liftmount/_internal/network/udp.py
+++ b/src/liftmount/_internal/network/udp.py
@@ -1,4 +1,4 @@
-"""A UDP socket that hands each datagram to a callback."""
+"""A UDP socket that passes each datagram to a callback."""
 
 import asyncio
 import socket
@@ -18,7 +18,11 @@
 
     @classmethod
     async def bind(cls, address: Endpoint, on_datagram):
-        """Bind ``address``; ``on_datagram(data, source_pair)``."""
+        """Return a socket bound to ``address``.
+
+        ``on_datagram(data, source)`` is called with each datagram and its
+        ``(ip, port)`` source.
+        """
         protocol = cls(on_datagram)
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(
@@ -27,27 +31,27 @@
         return protocol
 
     def connection_made(self, transport):
-        """Note the transport and widen its buffers."""
+        """Store the transport and enlarge its socket buffers."""
         self._transport = transport
         raw = transport.get_extra_info('socket')
         raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER_BYTES)
         raw.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, BUFFER_BYTES)
 
     def datagram_received(self, data, addr):
-        """Hand a datagram on."""
+        """Pass a datagram to the callback."""
         self._on_datagram(data, addr)
 
     def error_received(self, exc):
-        """Ignore ICMP errors: loss is found by those who wait."""
+        """Ignore ICMP errors: senders detect loss by timeouts."""
 
     @property
     def address(self) -> Endpoint:
-        """Return the address that is bound."""
+        """Return the bound address."""
         pair = self._transport.get_extra_info('sockname')
         return Endpoint(pair[0], pair[1])
 
     def send(self, data: bytes, destination) -> None:
-        """Send a datagram to an (ip, port) pair."""
+        """Send a datagram to an ``(ip, port)`` pair; no-op once closed."""
         if self._transport is None or self._transport.is_closing():
             return
         self.sent_bytes += len(data)
--- a/src/liftmount/_internal/store/__init__.py
+++ b/src/liftmount/_internal/store/__init__.py
@@ -1,6 +1,6 @@
-"""What the product does with a store of objects, whoever runs it.
+"""Access to an object store, independent of its implementation.
 
-``interface`` is what a store has to offer, ``reader`` keeps up with what
-it holds, ``writing`` resolves writes whose answer was lost, ``instances``
-and ``statuses`` read objects.
+``interface`` defines the protocol of a store client, ``reader`` follows
+changes by lists and watches, ``writing`` makes conditional writes,
+``instances`` and ``statuses`` read objects of these kinds.
 """
--- a/src/liftmount/_internal/store/instances.py
+++ b/src/liftmount/_internal/store/instances.py
@@ -1,6 +1,6 @@
-"""Reads the instance list: objects that say which instances live.
+"""Reads the instance list: the store's objects that describe instances.
 
-Whoever starts and stops instances keeps the list; it lags.
+The platform maintains the list, with some delay.
 """
 
 from liftmount._internal.models.feeds import StoredObject
@@ -13,7 +13,7 @@
 
 
 def read_instance(item: StoredObject) -> InstanceEntry:
-    """Read an entry of the list; raises ConfigurationError."""
+    """Parse an entry of the list; raises ConfigurationError."""
     return structure(
         {'name': item.name, **item.value}, InstanceEntry, item.key
     )
--- a/src/liftmount/_internal/store/reader.py
+++ b/src/liftmount/_internal/store/reader.py
@@ -1,4 +1,4 @@
-"""Keeps up with what a store holds: lists, watches, deletions."""
+"""Follows the objects of a store by lists and watches."""
 
 import logging
 
@@ -16,18 +16,19 @@
 from liftmount._internal.store.interface import ObjectStore
 
 LOG = logging.getLogger('liftmount.platform')
-# A watch that only asks for what is known by now.
+# Wait of a watch that only returns past changes.
 IMMEDIATE_WAIT_MS = 1
 FROM_STORE = 'the platform'
 FROM_LIST = 'the instance list'
 
 
 class ObjectReader:
-    """Reads objects that every balancer holds, and the instance list.
+    """Reads the objects that every balancer holds, and the instance list.
 
-    ``held()`` returns the objects that are held here by key, and
-    ``on_newer(objects, source)`` takes what is newer.  Each call raises
-    PlatformError.
+    ``held()`` returns the objects held by this balancer, by key.
+    ``on_newer(objects, source)`` is called with objects that are newer
+    than those; a deletion is an object without a value.  Each call of the
+    store raises PlatformError.
     """
 
     def __init__(self, store: ObjectStore, held, on_newer):
@@ -39,11 +40,11 @@
         self._instance_revision = None
 
     def may_watch(self, kind: str) -> bool:
-        """Tell whether a kind was listed, and its history is known."""
+        """Whether a kind was listed and can be watched from there."""
         return kind in self._revisions
 
     async def list_all(self) -> None:
-        """Read all objects; what is missing from a list is deleted."""
+        """List all kinds; objects missing from a list count as deleted."""
         for kind in DISSEMINATED_KINDS:
             listing = await self._store.list(kind.value)
             deleted = self._find_deleted(kind.value, listing)
@@ -53,7 +54,7 @@
     async def watch(self, kind: str, wait_ms: int) -> None:
         """Wait for changes of a kind that was listed.
 
-        Raises HistoryGoneError when it has to be listed again.
+        Raises HistoryGoneError if it must be listed again.
         """
         try:
             delta = await self._store.watch(
@@ -66,7 +67,7 @@
         self._report_newer(kind, objects, delta.revision)
 
     def _report_newer(self, kind, objects, revision):
-        """Hand on what is newer than what is held."""
+        """Report objects that are newer than those held."""
         self._revisions[kind] = max(revision, self._revisions.get(kind, 0))
         held = self._held()
         newer = [
@@ -78,9 +79,9 @@
             self._on_newer(newer, FROM_STORE)
 
     def _find_deleted(self, kind: str, listing: Listing) -> list[StoredObject]:
-        """Return deletions of what a whole list no longer has.
+        """Return deletions of held objects that a full list lacks.
 
-        What is newer than the list was written since.
+        Objects newer than the list were written after it and are kept.
         """
         listed = {item.key for item in listing.items}
         return [
@@ -93,7 +94,7 @@
         ]
 
     async def read_instances(self) -> None:
-        """Take over what changed in the instance list."""
+        """Update ``instances`` by a list, or by the changes since the last."""
         kind = ObjectKind.INSTANCE.value
         if self._instance_revision is None:
             listing = await self._store.list(kind)
@@ -123,8 +124,7 @@
             try:
                 entry = read_instance(item)
             except ConfigurationError as error:
-                # The others of the list count all the same.
-                LOG.warning('An instance is left out: %s.', error)
+                LOG.warning('Ignoring invalid instance entry: %s.', error)
                 continue
             self.instances[entry.name] = entry
             changed.append(StoredObject(item.key, item.version, asdict(entry)))
--- a/src/liftmount/_internal/store/statuses.py
+++ b/src/liftmount/_internal/store/statuses.py
@@ -1,4 +1,4 @@
-"""Reads what failure domains report."""
+"""Reads the status objects of failure domains."""
 
 from liftmount._internal.models.objects import DomainStatus
 from liftmount._internal.models.objects import ObjectKind
--- a/src/liftmount/_internal/store/writing.py
+++ b/src/liftmount/_internal/store/writing.py
@@ -1,4 +1,4 @@
-"""Conditional writes whose answer may be lost."""
+"""Conditional writes that tolerate a lost answer."""
 
 from liftmount._internal.exceptions import ConflictError
 from liftmount._internal.exceptions import PlatformUnavailableError
@@ -8,18 +8,19 @@
 async def write_and_resolve(
     store: ObjectStore, key: str, value: dict, expected_version: int
 ) -> int:
-    """Write conditionally; a lost answer is resolved by reading back.
+    """Write conditionally and return the new version.
 
-    ``value`` should hold something that no other writer writes, such as a
-    nonce.  Raises ConflictError when another writer was first, and
-    PlatformUnavailableError when the outcome could not be learnt.
+    If the answer is lost, the object is read back to find out whether the
+    write took effect, so ``value`` should be unique to this write, such as
+    by a nonce.  Raises ConflictError if another writer was first, and
+    PlatformUnavailableError if the outcome is unknown.
     """
     try:
         return await store.put(key, value, expected_version)
     except PlatformUnavailableError as error:
         failure = error
     except ConflictError as conflict:
-        # A repeated attempt may meet its own first write.
+        # The conflicting write may be an earlier attempt of this one.
         if conflict.current is not None and conflict.current.value == value:
             return conflict.current.version
         raise
--- a/src/liftmount/_internal/utils/__init__.py
+++ b/src/liftmount/_internal/utils/__init__.py
@@ -1,1 +1,1 @@
-"""Small helpers without a part of their own: logs, counters, documents."""
+"""Utilities: logs, counters, documents, sockets."""
--- a/src/liftmount/_internal/utils/checks.py
+++ b/src/liftmount/_internal/utils/checks.py
@@ -1,4 +1,4 @@
-"""Checks of single values; each returns a message, or None when good."""
+"""Validators of single values: each returns a message, None if valid."""
 
 from ipaddress import ip_network
 import re
@@ -7,14 +7,14 @@
 
 
 def name(value: str) -> str | None:
-    """Accept lower-case letters, digits and hyphens, at most 63."""
+    """Accept at most 63 lower-case letters, digits and hyphens."""
     if NAME_PATTERN.fullmatch(value):
         return None
     return 'expected at most 63 lower-case letters, digits and hyphens'
 
 
 def between(low: int, high: int):
-    """Return a check that accepts whole numbers from low to high."""
+    """Return a check that accepts numbers from ``low`` to ``high``."""
 
     def check(value):
         if low <= value <= high:
@@ -25,7 +25,7 @@
 
 
 def one_of(*choices: str):
-    """Return a check that accepts one of the given words."""
+    """Return a check that accepts one of ``choices``."""
 
     def check(value):
         if value in choices:
--- a/src/liftmount/_internal/utils/counters.py
+++ b/src/liftmount/_internal/utils/counters.py
@@ -1,4 +1,4 @@
-"""Counters for each refusal and retry, sent by statsd."""
+"""Counters of refusals, retries and other events, sent to statsd."""
 
 from collections import Counter
 
@@ -11,7 +11,7 @@
 
 
 class Counters:
-    """Counts in memory; ``flush`` sends what is new."""
+    """Counters in memory; ``flush`` sends the increments to statsd."""
 
     def __init__(self, settings: StatsdSettings | None):
         self.totals = Counter()
@@ -35,12 +35,12 @@
         self.count(f'retried.{reason.value}')
 
     def count(self, name: str, amount: int = 1) -> None:
-        """Add to a counter."""
+        """Increment a counter."""
         self.totals[name] += amount
         self._unsent[name] += amount
 
     def flush(self) -> None:
-        """Send the counts since the last flush, a few in a datagram."""
+        """Send the increments since the last flush, batched in datagrams."""
         if self._client is None or not self._unsent:
             return
         with self._client.pipeline() as pipeline:
--- a/src/liftmount/_internal/utils/documents.py
+++ b/src/liftmount/_internal/utils/documents.py
@@ -1,4 +1,4 @@
-"""Reads documents into attrs classes and reports every problem at once."""
+"""Structures documents as attrs classes and reports all problems."""
 
 from pathlib import Path
 import re
@@ -27,7 +27,7 @@
 
 
 def _make_strict_hook(kind):
-    """Return a hook that takes values of exactly this type."""
+    """Return a hook that accepts only values of exactly this type."""
 
     def structure(value, _kind):
         if type(value) is not kind:
@@ -39,7 +39,7 @@
 
 
 def make_converter() -> Converter:
-    """Return a converter that accepts no unknown keys and no coercion."""
+    """Return a converter that rejects unknown keys and coerces nothing."""
     converter = Converter(forbid_extra_keys=True, detailed_validation=True)
     converter.register_structure_hook(Endpoint, _structure_endpoint)
     converter.register_unstructure_hook(Endpoint, str)
@@ -64,17 +64,17 @@
 
 
 def structure(document: dict, kind, source: str):
-    """Turn a plain document into an attrs class.
+    """Return an instance of an attrs class from a plain document.
 
-    Raises ConfigurationError with one Problem for each wrong or unknown
-    key.
+    ``source`` names the document in problems.  Raises ConfigurationError
+    with one Problem for each invalid or unknown key.
     """
     try:
         return CONVERTER.structure(document, kind)
     except (ClassValidationError, IterableValidationError) as error:
         problems = _list_problems(error, document, source)
     except Exception as error:
-        # cattrs lets errors of nested hooks through as they are.
+        # cattrs does not wrap all errors of nested hooks.
         problems = [Problem(source, '(document)', '', str(error))]
     raise ConfigurationError(problems)
 
@@ -92,7 +92,7 @@
 
 
 def _format_error(error, kind):
-    """Return what an operator can act on."""
+    """Return the message of an error for the operator."""
     if isinstance(error, ValueError) and error.args:
         return str(error)
     return format_exception(error, kind)
@@ -130,9 +130,9 @@
 
 
 def checked(check, default=attrs.NOTHING, help_text=''):
-    """Declare a field whose value ``check`` judges.
+    """Declare a field that ``check_fields`` validates by ``check``.
 
-    ``check(value)`` returns None when the value is good, else a message.
+    ``check(value)`` returns None if the value is valid, else a message.
     """
     return attrs.field(
         default=default,
--- a/src/liftmount/_internal/utils/import_hook.py
+++ b/src/liftmount/_internal/utils/import_hook.py
@@ -1,4 +1,4 @@
-"""Does something between imports, which would hold it up."""
+"""Runs a callback between imports, so that they do not delay other work."""
 
 import sys
 
@@ -6,9 +6,8 @@
 class ImportHook:
     """A context in which ``callback()`` is called before each import.
 
-    That bounds the time without a turn by the slowest single import, some
-    20 ms on a quarter of a core, where all imports of a balancer's second
-    part together take 300.
+    The time between two calls is bounded by the slowest single import.
+    Imports of the callback itself do not call it.
     """
 
     def __init__(self, callback):
@@ -23,7 +22,7 @@
         sys.meta_path.remove(self)
 
     def find_spec(self, _name, _path=None, _target=None):
-        """Take a turn; the other finders find the module."""
+        """Call the callback; return None, so that other finders are used."""
         if self._is_running:
             return
         self._is_running = True
--- a/src/liftmount/_internal/utils/logs.py
+++ b/src/liftmount/_internal/utils/logs.py
@@ -1,4 +1,4 @@
-"""Set-up of logging: one line a record, with the part as prefix."""
+"""Logging setup: one line per record, prefixed by the logger's name."""
 
 import logging
 import sys
@@ -7,12 +7,12 @@
 
 
 def set_up_logging(level: str) -> None:
-    """Log to standard error from ``level`` on."""
+    """Log to standard error at ``level`` and above."""
     logging.basicConfig(
         stream=sys.stderr,
         level=level.upper(),
         format=FORMAT,
     )
-    # The libraries report each connection; the services do it better.
+    # These libraries log each connection, as the services do.
     for name in ('websockets', 'aiohttp', 'asyncio'):
         logging.getLogger(name).setLevel(logging.ERROR)
--- a/src/liftmount/_internal/utils/metrics.py
+++ b/src/liftmount/_internal/utils/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms, as text for whoever collects them."""
+"""Counters, gauges and latency histograms in Prometheus text format."""
 
 from bisect import bisect_left
 from collections import Counter
@@ -6,15 +6,15 @@
 from attrs import define
 from attrs import Factory
 
-# Upper bounds of the buckets in milliseconds: from a hop within a failure
-# domain to the longest deadline of the users' requests.
+# Upper bounds of the buckets: from a hop within a failure domain to the
+# longest deadline of requests.
 BUCKETS_MS = (5, 10, 20, 50, 100, 200, 500, 1_000, 2_000, 5_000)
 PREFIX = 'liftmount'
 
 
 @define
 class Histogram:
-    """Counts of observations by bucket, the last one without bound."""
+    """Counts of observations by bucket; the last one is unbounded."""
 
     counts: list[int] = Factory(lambda: [0] * (len(BUCKETS_MS) + 1))
     total: float = 0.0
@@ -34,7 +34,7 @@
     histograms: dict[str, dict[str, Histogram]] = Factory(dict)
 
     def count(self, name: str, amount: int = 1) -> None:
-        """Add to a counter; a dot separates its group from its reason."""
+        """Increment a counter named ``group`` or ``group.reason``."""
         self.totals[name] += amount
 
     def observe(self, name: str, value: float, label: str) -> None:
@@ -45,7 +45,7 @@
         group[label].observe(value)
 
     def text(self) -> str:
-        """Return all figures in the text format of Prometheus."""
+        """Return all metrics in the Prometheus text format."""
         lines = []
         for name, value in sorted(self.totals.items()):
             group, _dot, reason = name.partition('.')
--- a/src/liftmount/_internal/utils/raw_sockets.py
+++ b/src/liftmount/_internal/utils/raw_sockets.py
@@ -1,8 +1,7 @@
-"""Sockets of the C module that Python's ``socket`` is built on.
+"""Sockets of ``_socket``, the C module below Python's ``socket``.
 
-Importing ``socket`` takes 4 ms of processor time (median of 31 processes),
-most of it to turn constants into enumerations; what runs before the first
-packet does without.
+Importing ``socket`` is slow, as it converts constants to enumerations; the
+code that runs before the first packet avoids it.
 """
 
 from _socket import AF_INET as AF_INET
@@ -34,7 +33,7 @@
 
 
 def make_socket(kind: int) -> RawSocket:
-    """Return a socket that never waits, for IPv4."""
+    """Return a non-blocking IPv4 socket."""
     made = RawSocket(AF_INET, kind)
     made.setblocking(False)
     return made
--- a/src/liftmount/_internal/utils/structured.py
+++ b/src/liftmount/_internal/utils/structured.py
@@ -1,8 +1,8 @@
-"""Structured logs: one JSON object a line on standard output.
+"""Structured logs: one JSON object per line on standard output.
 
-Lines go to a bounded queue, which is written out a few times a second.  A
-reader that is slow, or too many lines, loses lines and never holds up a
-packet; what was lost is counted and said.
+Lines go to a bounded queue that is flushed periodically without blocking.
+When the reader is slow or the rate too high, lines are dropped, counted
+and reported by a line of their own.
 """
 
 from collections import deque
@@ -12,14 +12,14 @@
 from liftmount._internal.clock import Clock
 
 STDOUT = 1
-# Lines kept until the next write; at 200 bytes each, 400 KB.
+# Lines queued until the next flush.
 MAX_QUEUED_LINES = 2_000
-# Lines in a second before those that touch single flows are left out.
+# Lines accepted per second; further ones are dropped.
 MAX_LINES_PER_SECOND = 400
 
 
 class StructuredLog:
-    """Collects lines; ``flush`` writes them without blocking."""
+    """Queues lines; ``flush`` writes them without blocking."""
 
     def __init__(self, clock: Clock, descriptor: int = STDOUT):
         self._clock = clock
@@ -33,7 +33,7 @@
         os.set_blocking(descriptor, False)
 
     def write(self, part: str, event: str, **fields) -> None:
-        """Add a line: the part that speaks, what happened, its inputs."""
+        """Queue a line of a component (``part``), an event and its fields."""
         now_ms = self._clock.wall_ms()
         if now_ms // 1000 != self._current_s:
             self._current_s = now_ms // 1000
@@ -48,7 +48,7 @@
         self._lines.append(line)
 
     def flush(self) -> None:
-        """Write what is queued; keeps what the reader does not take."""
+        """Write queued lines; keep those that the reader does not accept."""
         if self.lost_unreported and len(self._lines) < MAX_QUEUED_LINES:
             lost, self.lost_unreported = self.lost_unreported, 0
             line = {'part': 'logs', 'event': 'lines_lost', 'lines': lost}
@@ -62,7 +62,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody reads: there is no place left to say so.
+                # The reader is gone, and there is no other log.
                 self._unwritten = b''
                 self._lines.clear()
                 return
