--- a/src/liftmount/_internal/cli/base.py
+++ b/src/liftmount/_internal/cli/base.py
@@ -63,7 +63,9 @@
         return tool.platform
     text = options.platform or os.environ.get(PLATFORM_VARIABLE, '')
     addresses = [
-        parse_option('--platform', one) for one in text.split(',') if one
+        parse_address_option('--platform', one)
+        for one in text.split(',')
+        if one
     ]
     if not addresses:
         message = f'name the platform by --platform or ${PLATFORM_VARIABLE}'
@@ -73,7 +75,7 @@
     return PlatformSettings(addresses=addresses)
 
 
-def parse_option(name: str, text: str) -> Endpoint:
+def parse_address_option(name: str, text: str) -> Endpoint:
     """Read an address from the command line; raises ConfigurationError."""
     try:
         return parse_endpoint(text)
--- a/src/liftmount/_internal/cli/daemon.py
+++ b/src/liftmount/_internal/cli/daemon.py
@@ -36,8 +36,8 @@
 
 LOG = logging.getLogger('liftmount.daemon')
 STATUS_USAGE = 2
-CHECK_MS = 50
-FAREWELL_MS = 100
+POLL_INTERVAL_MS = 50
+FAREWELL_DELAY_MS = 100
 
 
 def build_kernel(settings: Settings, clock: Clock, make_store) -> Kernel:
@@ -80,7 +80,7 @@
     stopped = asyncio.create_task(stopping.wait())
     await asyncio.wait({running, stopped}, return_when=asyncio.FIRST_COMPLETED)
     if not running.done():
-        await _leave(kernel, settings, clock)
+        await _shut_down(kernel, settings, clock)
     for task in (running, ready, stopped):
         task.cancel()
     results = await asyncio.gather(running, return_exceptions=True)
@@ -92,7 +92,7 @@
 async def _announce_ready(kernel):
     peers = kernel.lookup('peers')
     while peers.state is None:
-        await asyncio.sleep(seconds(CHECK_MS))
+        await asyncio.sleep(seconds(POLL_INTERVAL_MS))
     addresses = {
         'ready': kernel.lookup('data').identity.name,
         'fabric': str(kernel.lookup('data').fabric.address),
@@ -102,7 +102,7 @@
     print(json.dumps(addresses), flush=True)
 
 
-async def _leave(kernel, settings, clock):
+async def _shut_down(kernel, settings, clock):
     """Carry out a planned stop, within the limit of the settings."""
     peers = kernel.lookup('peers')
     peers.stopping = True
@@ -111,14 +111,14 @@
     give_up_ms = clock.now_ms() + settings.limits.stop_ms
     data = kernel.lookup('data')
     while clock.now_ms() < give_up_ms:
-        await asyncio.sleep(seconds(CHECK_MS))
+        await asyncio.sleep(seconds(POLL_INTERVAL_MS))
         if data.home.leaving and data.has_finished():
             LOG.info('Nothing is in progress any more.')
             break
     else:
         LOG.warning('The limit of the planned stop was reached.')
     peers.say_farewell()
-    await asyncio.sleep(seconds(FAREWELL_MS))
+    await asyncio.sleep(seconds(FAREWELL_DELAY_MS))
 
 
 def main(make_store, arguments=None) -> int:
--- a/src/liftmount/_internal/commands/documents.py
+++ b/src/liftmount/_internal/commands/documents.py
@@ -21,7 +21,7 @@
 from liftmount._internal.cli.base import STATUS_OK
 from liftmount._internal.clock import Clock
 from liftmount._internal.clock import seconds
-from liftmount._internal.commands.in_force import InForce
+from liftmount._internal.commands.rollout_status import RolloutStatus
 from liftmount._internal.exceptions import ConfigurationError
 from liftmount._internal.exceptions import ConflictError
 from liftmount._internal.models.feeds import StoredObject
@@ -34,9 +34,9 @@
 from liftmount._internal.utils.documents import structure
 
 BASE_VERSION = 'base_version'
-HISTORY_LENGTH = 20
+MAX_HISTORY_VERSIONS = 20
 NONCE_BYTES = 8
-WAIT_POLL_MS = 200
+ROLLOUT_POLL_MS = 200
 
 
 @frozen
@@ -75,7 +75,7 @@
     return structure(item.value, Written, item.key).document
 
 
-def show_diff(old: dict | None, new: dict, old_name: str, new_name: str):
+def print_diff(old: dict | None, new: dict, old_name: str, new_name: str):
     """Print the difference of two documents; return whether there is."""
     old_lines = to_toml(old).splitlines() if old else []
     new_lines = to_toml(new).splitlines()
@@ -137,7 +137,7 @@
         """Check a document on its own; raises ConfigurationError."""
         raise NotImplementedError
 
-    async def check_in_place(
+    async def check_against_store(
         self, parsed, source: str, store: ObjectStore
     ) -> None:
         """Check a document against what is stored."""
@@ -145,7 +145,7 @@
     async def _validate(self, options, store):
         file = read_document(options.file)
         parsed = self.parse(file.document, file.path)
-        await self.check_in_place(parsed, file.path, store)
+        await self.check_against_store(parsed, file.path, store)
         print(f'{file.path}: valid.')
         return STATUS_OK
 
@@ -153,7 +153,7 @@
         file = read_document(options.file)
         parsed = self.parse(file.document, file.path)
         stored = await store.get(self._key(parsed.name))
-        differs = show_diff(
+        differs = print_diff(
             stored_document(stored), file.document, 'stored', file.path
         )
         return STATUS_ERROR if differs else STATUS_OK
@@ -161,40 +161,44 @@
     async def _apply(self, options, store):
         file = read_document(options.file)
         parsed = self.parse(file.document, file.path)
-        await self.check_in_place(parsed, file.path, store)
+        await self.check_against_store(parsed, file.path, store)
         key = self._key(parsed.name)
         stored = await store.get(key)
         found_version = stored.version if stored else 0
         version = file.base_version
         if version is None:
             version = found_version
-        value = asdict(_written(file.document))
+        value = asdict(_wrap_document(file.document))
         try:
             if version != found_version:
                 raise ConflictError(key, stored)
             written = await write_and_resolve(store, key, value, version)
         except ConflictError as error:
-            return _show_conflict(error, file)
-        await _keep_history(store, key, stored)
+            return _print_conflict(error, file)
+        await _append_history(store, key, stored)
         print(f'{key}: submitted as version {written}.')
         if options.wait_ms:
-            return await self._wait(options, store, parsed, written)
+            return await self._wait_for_rollout(
+                options, store, parsed, written
+            )
         return STATUS_OK
 
-    async def _wait(self, options, store, parsed, version):
+    async def _wait_for_rollout(self, options, store, parsed, version):
         clock = Clock()
         give_up_ms = clock.now_ms() + options.wait_ms
         while True:
-            state = await self.in_force(store, parsed, version)
-            if state.holds:
+            state = await self.check_rollout(store, parsed, version)
+            if state.is_in_force:
                 print(f'version {version}: in force everywhere.')
                 return STATUS_OK
             if clock.now_ms() >= give_up_ms:
-                print(f'not in force: {state.why}', file=sys.stderr)
+                print(f'not in force: {state.reason}', file=sys.stderr)
                 return STATUS_NOT_IN_FORCE
-            await asyncio.sleep(seconds(WAIT_POLL_MS))
+            await asyncio.sleep(seconds(ROLLOUT_POLL_MS))
 
-    async def in_force(self, store, parsed, version: int) -> InForce:
+    async def check_rollout(
+        self, store, parsed, version: int
+    ) -> RolloutStatus:
         """Tell whether a version is in force on every balancer."""
         raise NotImplementedError
 
@@ -216,7 +220,7 @@
         rows = []
         for item in sorted(listing.items, key=lambda one: one.key):
             written = structure(item.value, Written, item.key)
-            rows.append(_row(item.name, item.version, written))
+            rows.append(_make_row(item.name, item.version, written))
         print_rows(options, ('name', 'version', 'writer', 'wall_ms'), rows)
         return STATUS_OK
 
@@ -226,12 +230,12 @@
         rows = list(past.value['versions']) if past else []
         if stored is not None:
             written = structure(stored.value, Written, stored.key)
-            rows.append(_row(stored.name, stored.version, written))
+            rows.append(_make_row(stored.name, stored.version, written))
         print_rows(options, ('version', 'writer', 'wall_ms'), rows)
         return STATUS_OK
 
 
-def _row(name, version, written):
+def _make_row(name, version, written):
     return {
         'name': name,
         'version': version,
@@ -240,7 +244,7 @@
     }
 
 
-def _written(document):
+def _wrap_document(document):
     return Written(
         document=document,
         writer=getpass.getuser(),
@@ -249,12 +253,12 @@
     )
 
 
-def _show_conflict(error, file):
+def _print_conflict(error, file):
     print(f'liftmount: {error}; nothing was written.', file=sys.stderr)
     current = stored_document(error.current)
     version = error.current.version if error.current else 0
     name = f'stored, version {version}'
-    show_diff(current, file.document, name, file.path)
+    print_diff(current, file.document, name, file.path)
     return STATUS_CONFLICT
 
 
@@ -262,7 +266,7 @@
     return f'{ObjectKind.HISTORY.value}/{key.replace("/", ".")}'
 
 
-async def _keep_history(store, key, replaced):
+async def _append_history(store, key, replaced):
     """Note the version that was replaced; losing this harms nothing."""
     if replaced is None:
         return
@@ -270,9 +274,9 @@
     found = await store.get(history_key)
     versions = list(found.value['versions']) if found else []
     written = structure(replaced.value, Written, replaced.key)
-    row = _row(replaced.name, replaced.version, written)
+    row = _make_row(replaced.name, replaced.version, written)
     versions.append({**row, 'document': written.document})
-    value = {'versions': versions[-HISTORY_LENGTH:]}
+    value = {'versions': versions[-MAX_HISTORY_VERSIONS:]}
     version = found.version if found else 0
     try:
         await write_and_resolve(store, history_key, value, version)
--- a/src/liftmount/_internal/commands/evacuate.py
+++ b/src/liftmount/_internal/commands/evacuate.py
@@ -10,8 +10,8 @@
 from liftmount._internal.cli.base import STATUS_ERROR
 from liftmount._internal.clock import Clock
 from liftmount._internal.commands.documents import stored_document
-from liftmount._internal.commands.marks import clear_mark
-from liftmount._internal.commands.marks import set_mark
+from liftmount._internal.commands.markers import create_marker
+from liftmount._internal.commands.markers import delete_marker
 from liftmount._internal.models.objects import Evacuation
 from liftmount._internal.models.objects import ObjectKind
 from liftmount._internal.store.instances import read_live_domains
@@ -43,18 +43,20 @@
         key = f'{ObjectKind.EVACUATION.value}/{options.domain}'
         try:
             if options.is_return:
-                return await clear_mark(store, key, 'evacuated', 'taken back')
-            if options.domain not in await _known_domains(store):
+                return await delete_marker(
+                    store, key, 'evacuated', 'taken back'
+                )
+            if options.domain not in await _find_domains(store):
                 text = f'there is no failure domain {options.domain}'
                 print(f'liftmount: {text}', file=sys.stderr)
                 return STATUS_ERROR
             value = asdict(Evacuation(getpass.getuser(), Clock().wall_ms()))
-            return await set_mark(store, key, value, 'evacuated')
+            return await create_marker(store, key, value, 'evacuated')
         finally:
             store.close()
 
 
-async def _known_domains(store):
+async def _find_domains(store):
     """Return the domains that have targets or live balancers."""
     domains = await read_live_domains(store)
     teams = await store.list(ObjectKind.TEAM.value)
--- a/src/liftmount/_internal/commands/flow.py
+++ b/src/liftmount/_internal/commands/flow.py
@@ -8,13 +8,13 @@
 from websockets.exceptions import WebSocketException
 
 from liftmount._internal.cli.base import Command
-from liftmount._internal.cli.base import parse_option
+from liftmount._internal.cli.base import parse_address_option
 from liftmount._internal.cli.base import STATUS_ERROR
 from liftmount._internal.cli.base import STATUS_OK
 from liftmount._internal.clock import seconds
 from liftmount._internal.network import control_frames as frames
 
-LIMIT_MS = 3_000
+ANSWER_TIMEOUT_MS = 3_000
 
 
 class FlowCommand(Command):
@@ -48,11 +48,11 @@
         argument = ''
         if options.action == 'explain':
             subject = 'flow'
-            address = parse_option('SERVICE-IP:PORT', options.address)
+            address = parse_address_option('SERVICE-IP:PORT', options.address)
             argument = str(address)
-        control = parse_option('--control', options.control)
+        control = parse_address_option('--control', options.control)
         try:
-            document = await ask(control, subject, argument)
+            document = await inspect_balancer(control, subject, argument)
         except (TimeoutError, OSError, WebSocketException) as error:
             text = f'{control} gave no answer: {error!r}'
             print(f'liftmount: {text}', file=sys.stderr)
@@ -62,10 +62,10 @@
         return STATUS_OK
 
 
-async def ask(control, subject: str, argument: str = '') -> dict:
+async def inspect_balancer(control, subject: str, argument: str = '') -> dict:
     """Return a balancer's answer about ``subject``."""
     request = frames.InspectRequest(subject, argument)
-    async with asyncio.timeout(seconds(LIMIT_MS)):
+    async with asyncio.timeout(seconds(ANSWER_TIMEOUT_MS)):
         async with connect(
             f'ws://{control}/', compression=None, proxy=None
         ) as socket:
--- a/src/liftmount/_internal/commands/marks.py
+++ b/src/liftmount/_internal/commands/markers.py
@@ -4,7 +4,7 @@
 from liftmount._internal.store.writing import write_and_resolve
 
 
-async def set_mark(store, key: str, value: dict, state: str) -> int:
+async def create_marker(store, key: str, value: dict, state: str) -> int:
     """Write a mark, and say that its subject is in a state now."""
     name = key.partition('/')[2]
     if await store.get(key) is not None:
@@ -15,13 +15,13 @@
     return STATUS_OK
 
 
-async def clear_mark(store, key: str, state: str, left: str) -> int:
-    """Delete a mark, and say that its subject has ``left`` the state."""
+async def delete_marker(store, key: str, state: str, result: str) -> int:
+    """Delete a mark, and say that its subject has ``result`` the state."""
     name = key.partition('/')[2]
     found = await store.get(key)
     if found is None:
         print(f'{name}: is not {state}.')
         return STATUS_OK
     await store.delete(key, found.version)
-    print(f'{name}: {left}.')
+    print(f'{name}: {result}.')
     return STATUS_OK
--- a/src/liftmount/_internal/commands/in_force.py
+++ b/src/liftmount/_internal/commands/rollout_status.py
@@ -9,25 +9,27 @@
 
 
 @frozen
-class InForce:
+class RolloutStatus:
     """Whether a version holds everywhere, and else why not."""
 
-    holds: bool
-    why: str = ''
+    is_in_force: bool
+    reason: str = ''
 
 
-async def check_version(store: ObjectStore, version: int) -> InForce:
+async def read_rollout_status(
+    store: ObjectStore, version: int
+) -> RolloutStatus:
     """Tell whether every balancer holds ``version``."""
     statuses = await read_statuses(store)
     domains = await read_live_domains(store)
     if not domains:
-        return InForce(False, 'there is no live balancer')
+        return RolloutStatus(False, 'there is no live balancer')
     if in_force(version, statuses, domains):
-        return InForce(True)
-    return InForce(False, _why(version, statuses, domains))
+        return RolloutStatus(True)
+    return RolloutStatus(False, _describe_lag(version, statuses, domains))
 
 
-def _why(version, statuses, domains):
+def _describe_lag(version, statuses, domains):
     known = {status.failure_domain: status for status in statuses}
     reasons = []
     for name in sorted(domains):
--- a/src/liftmount/_internal/commands/status.py
+++ b/src/liftmount/_internal/commands/status.py
@@ -19,7 +19,7 @@
 from liftmount._internal.store.statuses import read_statuses
 from liftmount._internal.utils.documents import structure
 
-WATCH_MS = 1_000
+WATCH_POLL_MS = 1_000
 MS_PER_S = 1_000
 IN_FORCE = 'in force'
 EMPTY = 'empty'
@@ -61,20 +61,20 @@
         shown = None
         try:
             while True:
-                rows = await _rows(store)
+                rows = await _read_rows(store)
                 if rows != shown:
                     print_rows(options, COLUMNS, rows)
                     shown = rows
                 if not options.watch:
                     break
-                await asyncio.sleep(seconds(WATCH_MS))
+                await asyncio.sleep(seconds(WATCH_POLL_MS))
         finally:
             store.close()
         states = {row['state'] for row in rows} - {EMPTY}
         return STATUS_OK if states == {IN_FORCE} else STATUS_NOT_IN_FORCE
 
 
-async def _rows(store):
+async def _read_rows(store):
     newest = 0
     for kind in DISSEMINATED_KINDS:
         listing = await store.list(kind.value)
@@ -90,7 +90,7 @@
             rows.append({'failure_domain': name, 'state': 'silent'})
             continue
         row = asdict(status)
-        row['state'] = _state(status, newest)
+        row['state'] = _domain_state(status, newest)
         if name not in domains:
             row['state'] = EMPTY
         row['applied'] = len(status.applied)
@@ -115,7 +115,7 @@
     return shown
 
 
-def _state(status, newest):
+def _domain_state(status, newest):
     if status.revision < newest:
         return 'behind'
     return 'missing' if status.missing else IN_FORCE
--- a/src/liftmount/_internal/commands/target.py
+++ b/src/liftmount/_internal/commands/target.py
@@ -9,8 +9,8 @@
 from liftmount._internal.cli.base import STATUS_ERROR
 from liftmount._internal.clock import Clock
 from liftmount._internal.commands.documents import stored_document
-from liftmount._internal.commands.marks import clear_mark
-from liftmount._internal.commands.marks import set_mark
+from liftmount._internal.commands.markers import create_marker
+from liftmount._internal.commands.markers import delete_marker
 from liftmount._internal.models.objects import Drain
 from liftmount._internal.models.objects import ObjectKind
 
@@ -33,7 +33,7 @@
         """Write or delete the object that drains the target."""
         store = open_store(options)
         try:
-            if not await _exists(store, options.target):
+            if not await _target_exists(store, options.target):
                 text = f'there is no target {options.target}'
                 print(f'liftmount: {text}', file=sys.stderr)
                 return STATUS_ERROR
@@ -44,7 +44,7 @@
             store.close()
 
 
-async def _exists(store, name):
+async def _target_exists(store, name):
     team, _separator, target = name.partition('/')
     key = f'{ObjectKind.TEAM.value}/{team}'
     document = stored_document(await store.get(key)) or {}
@@ -55,15 +55,15 @@
 async def drain(store, name: str) -> int:
     """Write the object that drains a target or an instance."""
     value = asdict(Drain(name, Clock().wall_ms()))
-    return await set_mark(store, _key(name), value, 'drained')
+    return await create_marker(store, _drain_key(name), value, 'drained')
 
 
 async def restore(store, name: str) -> int:
     """Delete the object that drains a target or an instance."""
-    return await clear_mark(store, _key(name), 'drained', 'restored')
+    return await delete_marker(store, _drain_key(name), 'drained', 'restored')
 
 
-def _key(name):
+def _drain_key(name):
     return f'{ObjectKind.DRAIN.value}/{name}'
 
 
--- a/src/liftmount/_internal/commands/team.py
+++ b/src/liftmount/_internal/commands/team.py
@@ -2,8 +2,8 @@
 
 from liftmount._internal.commands.documents import DocumentCommand
 from liftmount._internal.commands.documents import stored_document
-from liftmount._internal.commands.in_force import check_version
-from liftmount._internal.commands.in_force import InForce
+from liftmount._internal.commands.rollout_status import read_rollout_status
+from liftmount._internal.commands.rollout_status import RolloutStatus
 from liftmount._internal.exceptions import ConfigurationError
 from liftmount._internal.models.configuration import parse_team
 from liftmount._internal.models.configuration import parse_template
@@ -29,7 +29,7 @@
         """Check a team on its own."""
         return parse_team(document, source)
 
-    async def check_in_place(self, parsed, source, store):
+    async def check_against_store(self, parsed, source, store):
         """Check a team against its template and the other teams."""
         key = f'{ObjectKind.TEMPLATE.value}/{parsed.template}'
         document = stored_document(await store.get(key))
@@ -40,20 +40,20 @@
             raise ConfigurationError([problem])
         resolve_services(parsed, parse_template(document, key), source)
         problems = []
-        for other in await _other_teams(store, parsed.name):
-            problems += _clashes(parsed, other, source)
+        for other in await _read_other_teams(store, parsed.name):
+            problems += _find_conflicts(parsed, other, source)
         if problems:
             raise ConfigurationError(problems)
 
-    async def in_force(self, store, parsed, version):
+    async def check_rollout(self, store, parsed, version):
         """Tell whether the team and its addresses are in force."""
-        found = await check_version(store, version)
-        if not found.holds:
+        found = await read_rollout_status(store, version)
+        if not found.is_in_force:
             return found
-        return await _claims_in_force(store, parsed)
+        return await _check_claims(store, parsed)
 
 
-async def _other_teams(store, name):
+async def _read_other_teams(store, name):
     listing = await store.list(ObjectKind.TEAM.value)
     teams = []
     for item in listing.items:
@@ -68,7 +68,7 @@
     return teams
 
 
-def _clashes(team, other, source):
+def _find_conflicts(team, other, source):
     problems = []
     taken = {str(address): name for name, address in other.addresses.items()}
     for name, address in team.addresses.items():
@@ -86,22 +86,22 @@
     return problems
 
 
-async def _claims_in_force(store, team):
+async def _check_claims(store, team):
     listing = await store.list(ObjectKind.CLAIM.value)
     known = {item.name: item for item in listing.items}
     newest = 0
     for service, address in team.addresses.items():
         item = known.get(str(address))
         if item is None:
-            return InForce(False, f'{address} is not granted yet')
+            return RolloutStatus(False, f'{address} is not granted yet')
         claim = structure(item.value, Claim, item.key)
         holder = (claim.team, claim.service)
         is_held = claim.state == ClaimState.HELD.value
         if not is_held or holder != (team.name, service):
             text = f'{address} is not yet released by {claim.team}'
-            return InForce(False, text)
+            return RolloutStatus(False, text)
         newest = max(newest, item.version)
-    return await check_version(store, newest)
+    return await read_rollout_status(store, newest)
 
 
 COMMAND = TeamCommand()
--- a/src/liftmount/_internal/commands/template.py
+++ b/src/liftmount/_internal/commands/template.py
@@ -1,7 +1,7 @@
 """The command ``liftmount template``."""
 
 from liftmount._internal.commands.documents import DocumentCommand
-from liftmount._internal.commands.in_force import check_version
+from liftmount._internal.commands.rollout_status import read_rollout_status
 from liftmount._internal.models.configuration import parse_template
 from liftmount._internal.models.objects import ObjectKind
 
@@ -19,9 +19,9 @@
         """Check a template on its own."""
         return parse_template(document, source)
 
-    async def in_force(self, store, parsed, version):
+    async def check_rollout(self, store, parsed, version):
         """Tell whether a version is in force on every balancer."""
-        return await check_version(store, version)
+        return await read_rollout_status(store, version)
 
 
 COMMAND = TemplateCommand()
--- a/src/liftmount/_internal/commands/trace.py
+++ b/src/liftmount/_internal/commands/trace.py
@@ -7,7 +7,7 @@
 from attrs import frozen
 
 from liftmount._internal.cli.base import Command
-from liftmount._internal.cli.base import parse_option
+from liftmount._internal.cli.base import parse_address_option
 from liftmount._internal.cli.base import print_rows
 from liftmount._internal.cli.base import STATUS_ERROR
 from liftmount._internal.cli.base import STATUS_OK
@@ -15,7 +15,7 @@
 # How long before a flow's first line and after its last one other lines may
 # bear on it: a target is found dead about a second after it fell silent,
 # and a client gives up within some seconds.
-AROUND_MS = 5_000
+CONTEXT_MS = 5_000
 # Events that say why a balancer took no packets, or knew too little.
 BALANCER_EVENTS = frozenset(
     (
@@ -92,17 +92,18 @@
     if not own:
         return []
     targets = {line.fields.get('target') for line in own} - {None, ''}
-    first_ms = min(line.at_ms for line in own) - AROUND_MS
-    last_ms = max(line.at_ms for line in own) + AROUND_MS
+    first_ms = min(line.at_ms for line in own) - CONTEXT_MS
+    last_ms = max(line.at_ms for line in own) + CONTEXT_MS
     found = [
         line
         for line in lines
-        if first_ms <= line.at_ms <= last_ms and _bears(line, client, targets)
+        if first_ms <= line.at_ms <= last_ms
+        and _is_relevant(line, client, targets)
     ]
     return sorted(found, key=lambda line: line.at_ms)
 
 
-def _bears(line, client, targets):
+def _is_relevant(line, client, targets):
     about = line.fields.get('client')
     if about is not None:
         return about == client
@@ -130,7 +131,7 @@
 
     async def run(self, options):
         """Print the lines."""
-        client = str(parse_option('CLIENT-IP:PORT', options.client))
+        client = str(parse_address_option('CLIENT-IP:PORT', options.client))
         lines = []
         for path in options.logs:
             lines += read_lines(path)
--- a/src/liftmount/_internal/exceptions.py
+++ b/src/liftmount/_internal/exceptions.py
@@ -73,10 +73,10 @@
     told in part if it is long.
     """
 
-    LONGEST_TOLD = 80
+    MAX_VALUE_CHARS = 80
 
     def __init__(self, name, field, value, message):
-        told = repr(value)[: self.LONGEST_TOLD]
+        told = repr(value)[: self.MAX_VALUE_CHARS]
         super().__init__(f'{name}: {field} = {told}: {message}')
         self.name = name
         self.field = field
