--- a/src/liftmount/_internal/cli/daemon.py
+++ b/src/liftmount/_internal/cli/daemon.py
@@ -105,7 +105,7 @@
 async def _shut_down(kernel, settings, clock):
     """Shut down gracefully, within ``limits.stop_ms``."""
     peers = kernel.lookup('peers')
-    peers.stopping = True
+    peers.is_stopping = True
     for name in ('data', 'peers'):
         kernel.post(name, ShutdownStarted())
     deadline_ms = clock.now_ms() + settings.limits.stop_ms
--- a/src/liftmount/_internal/kernel.py
+++ b/src/liftmount/_internal/kernel.py
@@ -18,7 +18,7 @@
 from liftmount._internal.exceptions import ServiceNotFoundError
 
 LOG = logging.getLogger('liftmount.kernel')
-MAX_MAILBOX = 100_000
+MAX_MAILBOX_MESSAGES = 100_000
 
 
 class Service:
@@ -35,7 +35,7 @@
 
     def post(self, message) -> None:
         """Put a message into the mailbox; drops it when that is full."""
-        if len(self._mailbox) >= MAX_MAILBOX:
+        if len(self._mailbox) >= MAX_MAILBOX_MESSAGES:
             self.dropped += 1
             return
         self._mailbox.append(message)
--- a/src/liftmount/_internal/services/configuration.py
+++ b/src/liftmount/_internal/services/configuration.py
@@ -42,7 +42,7 @@
                 continue
             changed.append(item)
             if item.key in self.store.problems:
-                self._report(item.key)
+                self._log_problems(item.key)
         if not changed:
             return
         LOG.info('Took %d objects from %s.', len(changed), message.source)
@@ -59,7 +59,7 @@
         if item.version < known.version:
             self.counters.refused(Reason.STALE_VERSION)
 
-    def _report(self, key):
+    def _log_problems(self, key):
         self.counters.refused(Reason.INVALID_OBJECT)
         for problem in self.store.problems[key]:
             LOG.warning('Invalid object: %s.', problem)
--- a/src/liftmount/_internal/services/control.py
+++ b/src/liftmount/_internal/services/control.py
@@ -29,11 +29,11 @@
 from liftmount._internal.network import control_frames as frames
 
 LOG = logging.getLogger('liftmount.control')
-CONNECT_MS = 1_000
-PING_MS = 5_000
-RECONNECT_MS = 200
-REPORT_MS = 50
-INSPECT_MS = 2_000
+CONNECT_TIMEOUT_MS = 1_000
+PING_INTERVAL_MS = 5_000
+RECONNECT_DELAY_MS = 200
+REPORT_DELAY_MS = 50
+INSPECT_TIMEOUT_MS = 2_000
 MAX_FRAME_BYTES = 64 * 1_048_576
 
 
@@ -59,7 +59,7 @@
         self._children = {}
         self._members = None
         self._reports = SubtreeReports(identity.name)
-        self._report_due = None
+        self._report_timer = None
         self._parent = None
         self._parent_socket = None
         self._parent_changed = asyncio.Event()
@@ -73,7 +73,7 @@
             listen.ip,
             listen.port,
             compression=None,
-            ping_interval=seconds(PING_MS),
+            ping_interval=seconds(PING_INTERVAL_MS),
             max_size=MAX_FRAME_BYTES,
             close_timeout=0.2,
         )
@@ -86,8 +86,8 @@
         """Close all connections."""
         for task in list(self._tasks):
             task.cancel()
-        if self._report_due is not None:
-            self._report_due.cancel()
+        if self._report_timer is not None:
+            self._report_timer.cancel()
         if self._server is not None:
             self._server.close()
 
@@ -95,13 +95,13 @@
         """Handle messages, and stay connected to the parent."""
         async with asyncio.TaskGroup() as group:
             group.create_task(super().run())
-            group.create_task(self._follow_parent())
+            group.create_task(self._maintain_subscription())
 
     def handle(self, message):
         """Handle one message of another service."""
         match message:
             case ConfigurationChanged():
-                self._relay(message)
+                self._relay_to_children(message)
             case MembersChanged():
                 self._members = message
                 self._choose_parent()
@@ -117,25 +117,25 @@
 
     # Down the tree.
 
-    def _relay(self, message):
+    def _relay_to_children(self, message):
         rows = frames.pack_objects(message.changed)
         data = frames.CODEC.encode(frames.Objects(rows))
         for child in self._children.values():
             child.outbox.put_nowait(data)
         self._reports.digest = message.digest
-        self._report()
+        self._schedule_report()
 
     def _choose_parent(self):
         domain = self.identity.failure_domain
         known = [self._members.own, *self._members.members.values()]
-        local = [one for one in known if one.failure_domain == domain]
+        local = [member for member in known if member.failure_domain == domain]
         parent = find_parent(relay_order(local), self.identity.name)
         if parent != self._parent:
             self._parent = parent
             self._parent_changed.set()
-            self._report()
+            self._schedule_report()
 
-    async def _follow_parent(self):
+    async def _maintain_subscription(self):
         while True:
             self._parent_changed.clear()
             parent = self._members and self._members.members.get(self._parent)
@@ -155,13 +155,13 @@
                 await asyncio.gather(
                     subscription, changed, return_exceptions=True
                 )
-            await asyncio.sleep(seconds(RECONNECT_MS))
+            await asyncio.sleep(seconds(RECONNECT_DELAY_MS))
 
     def _connect(self, member):
         return connect(
             f'ws://{member.control}/',
-            open_timeout=seconds(CONNECT_MS),
-            ping_interval=seconds(PING_MS),
+            open_timeout=seconds(CONNECT_TIMEOUT_MS),
+            ping_interval=seconds(PING_INTERVAL_MS),
             close_timeout=0.2,
             compression=None,
             proxy=None,
@@ -172,13 +172,13 @@
     async def _subscribe(self, parent):
         try:
             async with self._connect(parent) as socket:
-                versions = self._store().versions()
+                versions = self._local_store().versions()
                 hello = frames.Subscribe(self.identity.name, versions)
                 await socket.send(frames.CODEC.encode(hello))
                 self._parent_socket = socket
-                self._report()
+                self._schedule_report()
                 async for frame in socket:
-                    self._take_objects(frame, parent.name)
+                    self._post_objects(frame, parent.name)
         except (TimeoutError, OSError, WebSocketException) as error:
             LOG.info('Parent %s is out of reach: %r.', parent.name, error)
         except PacketError as error:
@@ -186,10 +186,10 @@
         finally:
             self._parent_socket = None
 
-    def _store(self):
+    def _local_store(self):
         return self.kernel.lookup('configuration').store
 
-    def _take_objects(self, frame, source):
+    def _post_objects(self, frame, source):
         message = frames.CODEC.decode(frame)
         if isinstance(message, frames.Objects):
             objects = frames.unpack_objects(message.objects)
@@ -198,13 +198,13 @@
 
     async def _pull(self, member):
         """Fetch from any member what this balancer lacks."""
-        request = frames.SyncRequest(self._store().versions())
+        request = frames.SyncRequest(self._local_store().versions())
         try:
             async with self._connect(member) as socket:
                 await socket.send(frames.CODEC.encode(request))
-                async with asyncio.timeout(seconds(CONNECT_MS)):
+                async with asyncio.timeout(seconds(CONNECT_TIMEOUT_MS)):
                     frame = await socket.recv()
-                self._take_objects(frame, member.name)
+                self._post_objects(frame, member.name)
         except (TimeoutError, OSError, WebSocketException) as error:
             LOG.info('Cannot pull from %s: %r.', member.name, error)
         except PacketError as error:
@@ -212,24 +212,24 @@
 
     # Up the tree.
 
-    def _report(self):
+    def _schedule_report(self):
         """Report for the subtree soon, once for all that comes at once."""
-        if self._report_due is None:
+        if self._report_timer is None:
             loop = asyncio.get_running_loop()
-            delay_s = seconds(REPORT_MS)
-            self._report_due = loop.call_later(delay_s, self._report_now)
+            delay_s = seconds(REPORT_DELAY_MS)
+            self._report_timer = loop.call_later(delay_s, self._send_report)
 
-    def _report_now(self):
-        self._report_due = None
+    def _send_report(self):
+        self._report_timer = None
         digests = self._reports.combined()
         if self._parent is None:
             self.kernel.post('platform', AppliedDigestsChanged(digests))
         elif self._parent_socket is not None:
             data = frames.CODEC.encode(frames.Applied(digests))
-            self._spawn(self._send_quietly(self._parent_socket, data))
+            self._spawn(self._try_send(self._parent_socket, data))
 
     @staticmethod
-    async def _send_quietly(socket, data):
+    async def _try_send(socket, data):
         try:
             await socket.send(data)
         except WebSocketException:
@@ -244,12 +244,12 @@
                 message = frames.CODEC.decode(frame)
                 match message:
                     case frames.Subscribe():
-                        child = self._adopt(message, socket)
+                        child = self._add_child(message, socket)
                     case frames.SyncRequest():
                         await self._answer_sync(message, socket)
                     case frames.Applied() if child is not None:
                         self._reports.note_child(child.name, message.digests)
-                        self._report()
+                        self._schedule_report()
                     case frames.InspectRequest():
                         await self._answer_inspect(message, socket)
         except WebSocketException:
@@ -257,25 +257,25 @@
         except (PacketError, ValueError, TypeError) as error:
             LOG.warning('Refused a control frame: %s.', error)
         finally:
-            self._abandon(child)
+            self._remove_child(child)
 
-    def _adopt(self, message, socket):
+    def _add_child(self, message, socket):
         child = _Child(message.name, socket)
         self._children[message.name] = child
-        child.outbox.put_nowait(self._newer(message.versions))
-        self._spawn(self._feed(child))
+        child.outbox.put_nowait(self._encode_newer(message.versions))
+        self._spawn(self._send_outbox(child))
         return child
 
-    def _abandon(self, child):
+    def _remove_child(self, child):
         if child is None:
             return
         child.outbox.put_nowait(None)
         if self._children.get(child.name) is child:
             del self._children[child.name]
             self._reports.drop_child(child.name)
-            self._report()
+            self._schedule_report()
 
-    async def _feed(self, child):
+    async def _send_outbox(self, child):
         while True:
             data = await child.outbox.get()
             if data is None:
@@ -286,22 +286,22 @@
             except WebSocketException:
                 return
 
-    def _newer(self, versions):
-        rows = frames.pack_objects(self._store().newer_than(versions))
+    def _encode_newer(self, versions):
+        rows = frames.pack_objects(self._local_store().newer_than(versions))
         return frames.CODEC.encode(frames.Objects(rows))
 
     async def _answer_sync(self, message, socket):
-        data = self._newer(message.versions)
+        data = self._encode_newer(message.versions)
         self.counters.count('control_bytes', len(data))
         await socket.send(data)
 
     async def _answer_inspect(self, message, socket):
         document = {}
-        for name in _INSPECTED.get(message.subject, ()):
+        for name in _INSPECTED_SERVICES.get(message.subject, ()):
             answer = asyncio.get_running_loop().create_future()
             inspect = Inspect(message.subject, message.argument, answer)
             self.kernel.post(name, inspect)
-            async with asyncio.timeout(seconds(INSPECT_MS)):
+            async with asyncio.timeout(seconds(INSPECT_TIMEOUT_MS)):
                 document[name] = await answer
         document['members'] = self._describe_members()
         reply = frames.InspectAnswer(document)
@@ -311,10 +311,10 @@
         if self._members is None:
             return {}
         known = [self._members.own, *self._members.members.values()]
-        return {one.name: one.status.name.lower() for one in known}
+        return {member.name: member.status.name.lower() for member in known}
 
 
-_INSPECTED = {
+_INSPECTED_SERVICES = {
     'flow': ('data',),
     'instance': ('data', 'configuration', 'platform'),
 }
--- a/src/liftmount/_internal/services/data.py
+++ b/src/liftmount/_internal/services/data.py
@@ -55,13 +55,13 @@
 TICK_MS = 20
 # A nonce fits the integers of packets.
 NONCE_BITS = 53
-MOVES_PER_TICK = 200
-MOVES_EVERY_MS = 1_000
-QUIET_MS = 1_500
+REBINDS_PER_TICK = 200
+REBIND_PLANNING_MS = 1_000
+QUIET_PERIOD_MS = 1_500
 
 
 @lru_cache(maxsize=262_144)
-def _endpoint(ip, port):
+def _intern_endpoint(ip, port):
     """Return one shared Endpoint for each address met."""
     return Endpoint(ip, port)
 
@@ -84,17 +84,17 @@
         self.identity = identity
         self.reassembly = Reassembly()
         self.fabric = None
-        self._return = settings.fabric.return_address.socket_address()
-        self._moves = []
-        self._next_moves_ms = 0
-        self._rounds_of_moves = 0
+        self._return_address = settings.fabric.return_address.socket_address()
+        self._pending_rebinds = []
+        self._next_planning_ms = 0
+        self._planning_rounds = 0
         self._last_packet_ms = 0
         self.routing.ownership.add(identity.name, identity.failure_domain)
 
     async def start(self):
         """Bind the socket and follow configuration and members."""
         listen = self.settings.listen.fabric
-        self.fabric = await UdpSocket.bind(listen, self._from_fabric)
+        self.fabric = await UdpSocket.bind(listen, self._on_fabric_datagram)
         self.kernel.stream('configuration').subscribe(self.post)
         self.kernel.stream('members').subscribe(self.post)
 
@@ -109,16 +109,16 @@
         self._execute(requests.decide(self.home, Tick(now_ms)))
         self._execute(streams.expire(self.home, now_ms))
         self.reassembly.expire(now_ms)
-        if self.home.leaving and now_ms >= self._next_moves_ms:
-            self._plan_moves(now_ms)
-        self._execute(self._moves[:MOVES_PER_TICK])
-        del self._moves[:MOVES_PER_TICK]
+        if self.home.leaving and now_ms >= self._next_planning_ms:
+            self._plan_rebinds(now_ms)
+        self._execute(self._pending_rebinds[:REBINDS_PER_TICK])
+        del self._pending_rebinds[:REBINDS_PER_TICK]
 
-    def _plan_moves(self, now_ms):
-        if not self._moves:
-            self._moves = streams.moves(self.home)
-            self._rounds_of_moves += 1
-        self._next_moves_ms = now_ms + MOVES_EVERY_MS
+    def _plan_rebinds(self, now_ms):
+        if not self._pending_rebinds:
+            self._pending_rebinds = streams.moves(self.home)
+            self._planning_rounds += 1
+        self._next_planning_ms = now_ms + REBIND_PLANNING_MS
 
     def has_finished(self) -> bool:
         """Tell whether a planned stop would cut nothing now."""
@@ -130,13 +130,13 @@
         if not len(self.home.flows):
             return True
         quiet_ms = self.clock.now_ms() - self._last_packet_ms
-        return self._rounds_of_moves >= 3 and quiet_ms >= QUIET_MS
+        return self._planning_rounds >= 3 and quiet_ms >= QUIET_PERIOD_MS
 
     def handle(self, message):
         """Handle one message of another service."""
         match message:
             case PacketForwarded():
-                self._from_peer(message.envelope)
+                self._on_peer_packet(message.envelope)
             case events.PushArrived() | events.StreamLost():
                 self._execute(streams.decide(self.home, message))
             case (
@@ -146,15 +146,15 @@
             ):
                 self._execute(requests.decide(self.home, message))
             case ConfigurationChanged():
-                self._configure(message.view)
+                self._apply_configuration(message.view)
             case MembersChanged():
-                self._note_members(message)
+                self._update_members(message)
             case TargetConnected() | TargetDraining():
-                self._note_target(message)
+                self._update_target(message)
             case ShutdownStarted():
-                self._leave(True)
+                self._set_leaving(True)
             case ShutdownCancelled():
-                self._leave(False)
+                self._set_leaving(False)
             case Inspect():
                 message.answer.set_result(self._inspect(message))
             case _:
@@ -162,29 +162,29 @@
 
     # Packets in.
 
-    def _from_fabric(self, data, _source):
+    def _on_fabric_datagram(self, data, _source):
         try:
             envelope = decode_fabric(data)
             packet = decode_packet(envelope.datagram)
-            self._packet(envelope, packet, 0)
+            self._route_packet(envelope, packet, 0)
         except (PacketError, ValueError):
             self.counters.refused(Reason.MALFORMED_PACKET)
 
-    def _from_peer(self, envelope):
+    def _on_peer_packet(self, envelope):
         try:
             packet = decode_packet(envelope.datagram)
-            self._packet(envelope, packet, envelope.hops)
+            self._route_packet(envelope, packet, envelope.hops)
         except (PacketError, ValueError):
             self.counters.refused(Reason.MALFORMED_PACKET)
 
-    def _packet(self, envelope, packet, hops):
-        caller = _endpoint(envelope.caller_ip, envelope.caller_port)
-        address = _endpoint(envelope.address_ip, envelope.address_port)
+    def _route_packet(self, envelope, packet, hops):
+        caller = _intern_endpoint(envelope.caller_ip, envelope.caller_port)
+        address = _intern_endpoint(envelope.address_ip, envelope.address_port)
         event = routing.PacketArrived(caller, address, packet, hops)
         action = routing.decide(self.routing, event)
         match action:
             case act.PassToPeer():
-                self._pass_on(action.peer, envelope, hops)
+                self._forward_to_peer(action.peer, envelope, hops)
             case act.HandleAsHome():
                 self._handle_as_home(event, action.service, action.nonce)
             case act.HandleOpen():
@@ -194,7 +194,7 @@
             case act.RefusePacket():
                 self._refuse_packet(event, action)
 
-    def _pass_on(self, peer, envelope, hops):
+    def _forward_to_peer(self, peer, envelope, hops):
         passed = PeerEnvelope(
             sender=self.identity.name,
             hops=hops + 1,
@@ -210,9 +210,9 @@
     def _refuse_packet(self, event, action):
         self.counters.refused(action.reason)
         if action.answer:
-            self._tell_refused(event, action.reason, action.retry_after_ms)
+            self._send_refused(event, action.reason, action.retry_after_ms)
 
-    def _tell_refused(self, event, reason, retry_after_ms=0):
+    def _send_refused(self, event, reason, retry_after_ms=0):
         flow_id = getattr(event.packet, 'flow_id', b'')
         refused = Refused(
             flow_id=flow_id,
@@ -220,13 +220,13 @@
             reason=reason.value,
             retry_after_ms=retry_after_ms,
         )
-        self._to_caller(event.caller, event.address, refused)
+        self._send_to_caller(event.caller, event.address, refused)
 
     def _handle_open(self, event, action):
         service = action.service
-        self._ready_pool(service.pool_key)
+        self._ensure_pool(service.pool_key)
         packet = event.packet
-        asked = events.FlowAsked(
+        requested = events.FlowAsked(
             service=service,
             caller=event.caller,
             flow_id=packet.flow_id,
@@ -239,15 +239,15 @@
         )
         if not isinstance(packet, Open):
             self.counters.count('adopted')
-        self._execute(_decisions(service).decide(self.home, asked))
+        self._execute(_select_decisions(service).decide(self.home, requested))
 
-    def _ready_pool(self, key):
+    def _ensure_pool(self, key):
         if key not in self.home.pools:
             self._update_pool(key)
 
     def _update_pool(self, key):
         infos = [
-            evolve(info, leaving=info.leaving or self._drains(info.name))
+            evolve(info, leaving=info.leaving or self._is_draining(info.name))
             for info in self.view.target_infos(key)
         ]
         pool = self.home.pool_state(key).pool
@@ -255,7 +255,7 @@
         pool.update(infos, now_ms)
         pool.close_domains(self.view.evacuated, now_ms)
 
-    def _drains(self, name):
+    def _is_draining(self, name):
         return name in self.home.draining
 
     def _handle_by_key(self, event, action, envelope):
@@ -263,7 +263,7 @@
         if flow is not None and flow.service.address == event.address:
             self._handle_as_home(event, action.service, flow.nonce)
         elif action.next_peer is not None:
-            self._pass_on(action.next_peer, envelope, event.hops)
+            self._forward_to_peer(action.next_peer, envelope, event.hops)
         else:
             refusal = act.RefusePacket(Reason.FLOW_UNKNOWN, True)
             self._refuse_packet(event, refusal)
@@ -276,7 +276,7 @@
             return
         now_ms = self._last_packet_ms = self.clock.now_ms()
         packet = event.packet
-        decide = _decisions(service).decide
+        decide = _select_decisions(service).decide
         match packet:
             case Request() if service.mode == 'request':
                 self._handle_request(event, nonce, now_ms)
@@ -332,27 +332,27 @@
                 self.kernel.post('targets', action)
             case act.SendPush():
                 packet = Push(action.flow_id, action.sequence, action.body)
-                self._to_caller(action.caller, action.address, packet)
+                self._send_to_caller(action.caller, action.address, packet)
             case act.Reply():
-                self._reply(action)
+                self._send_answer(action)
             case act.GrantFlow():
-                self._grant(action)
+                self._grant_flow(action)
             case act.RefuseFlow():
                 packet = Refused(
                     flow_id=action.flow_id,
                     reason=action.reason.value,
                     retry_after_ms=action.retry_after_ms,
                 )
-                self._to_caller(action.caller, action.address, packet)
+                self._send_to_caller(action.caller, action.address, packet)
             case act.AskToRebind():
                 packet = Rebind(action.flow_id, action.reason.value)
-                self._to_caller(action.caller, action.address, packet)
+                self._send_to_caller(action.caller, action.address, packet)
             case act.CountRefusal():
                 self.counters.refused(action.reason)
             case act.CountRetry():
                 self.counters.retried(action.reason)
 
-    def _grant(self, action):
+    def _grant_flow(self, action):
         service = action.service
         token = FlowToken(
             team=service.team,
@@ -374,9 +374,9 @@
             self.home.flows.remove(action.nonce)
             return
         opened = Opened(action.flow_id, sealed, action.nonce)
-        self._to_caller(action.caller, service.address, opened)
+        self._send_to_caller(action.caller, service.address, opened)
 
-    def _reply(self, action):
+    def _send_answer(self, action):
         outcome = action.outcome
         self.counters.count(f'verdict.{outcome.verdict.value}')
         pieces = split_body(outcome.body)
@@ -391,9 +391,9 @@
                 reason=outcome.reason.value if outcome.reason else '',
                 retry_after_ms=outcome.retry_after_ms,
             )
-            self._to_caller(action.caller, action.address, answer)
+            self._send_to_caller(action.caller, action.address, answer)
 
-    def _to_caller(self, caller, address, packet):
+    def _send_to_caller(self, caller, address, packet):
         envelope = FabricEnvelope(
             caller_ip=caller.ip,
             caller_port=caller.port,
@@ -401,42 +401,42 @@
             address_port=address.port,
             datagram=encode_packet(packet),
         )
-        self.fabric.send(encode_fabric(envelope), self._return)
+        self.fabric.send(encode_fabric(envelope), self._return_address)
 
     # What other services tell.
 
-    def _configure(self, view):
+    def _apply_configuration(self, view):
         self.view = view
         self.routing.services = view.services
         self.routing.pool_domains = view.pool_domains
         self.routing.ring = make_ring(view.keys)
         for key in self.home.pools:
             self._update_pool(key)
-        self._plan_moves(self.clock.now_ms())
+        self._plan_rebinds(self.clock.now_ms())
         if view.is_leaving(self.identity.name) != self.home.leaving:
-            self._note_own_drain(view)
+            self._post_own_drain(view)
 
-    def _note_own_drain(self, view):
+    def _post_own_drain(self, view):
         leaves = view.is_leaving(self.identity.name)
         message = ShutdownStarted() if leaves else ShutdownCancelled()
-        if leaves or not self.kernel.lookup('peers').stopping:
+        if leaves or not self.kernel.lookup('peers').is_stopping:
             for name in ('data', 'peers'):
                 self.kernel.post(name, message)
 
-    def _note_members(self, message):
-        known = self.routing
+    def _update_members(self, message):
+        state = self.routing
         changed = message.changed
         members = message.members.values()
         for member in [changed] if changed else members:
-            known.peers[member.name] = routing.PeerView(
+            state.peers[member.name] = routing.PeerView(
                 member.incarnation, member.reachable
             )
             if member.eligible:
-                known.ownership.add(member.name, member.failure_domain)
+                state.ownership.add(member.name, member.failure_domain)
             else:
-                known.ownership.remove(member.name)
+                state.ownership.remove(member.name)
 
-    def _note_target(self, message):
+    def _update_target(self, message):
         now_ms = self.clock.now_ms()
         match message:
             case TargetConnected():
@@ -452,9 +452,9 @@
         for key, state in self.home.pools.items():
             if message.target in state.pool.targets:
                 self._update_pool(key)
-        self._plan_moves(now_ms)
+        self._plan_rebinds(now_ms)
 
-    def _leave(self, is_leaving):
+    def _set_leaving(self, is_leaving):
         LOG.info('Leaving.' if is_leaving else 'Staying after all.')
         self.home.leaving = is_leaving
         self.routing.leaving = is_leaving
@@ -468,7 +468,7 @@
 
     def _inspect(self, message):
         if message.subject == 'flow':
-            return self._explain(message.argument)
+            return self._explain_flow(message.argument)
         return {
             'flows': len(self.home.flows),
             'requests': len(self.home.pending),
@@ -480,7 +480,7 @@
             },
         }
 
-    def _explain(self, argument):
+    def _explain_flow(self, argument):
         ip, _separator, port = argument.rpartition(':')
         service = self.routing.services.get(Endpoint(ip, int(port or 0)))
         if service is None:
@@ -496,7 +496,7 @@
             'why': f'{owner} owns pool {service.pool_key}',
         }
         if owner == self.identity.name:
-            self._ready_pool(service.pool_key)
+            self._ensure_pool(service.pool_key)
             state = self.home.pool_state(service.pool_key)
             now_ms = self.clock.now_ms()
             chosen = state.pool.choose(now_ms)
@@ -510,17 +510,17 @@
 def _describe_pool(state):
     return {
         name: {
-            'in_progress': one.in_progress,
-            'open_streams': one.open_streams,
-            'limit': one.capacity.limit,
-            'leaving': one.leaving,
-            'failure_domain': one.failure_domain,
-            'evacuated': one.failure_domain in state.pool.closed,
-            'busy_share': round(one.busy.busy / one.capacity.limit, 3),
+            'in_progress': target.in_progress,
+            'open_streams': target.open_streams,
+            'limit': target.capacity.limit,
+            'leaving': target.leaving,
+            'failure_domain': target.failure_domain,
+            'evacuated': target.failure_domain in state.pool.closed,
+            'busy_share': round(target.busy.busy / target.capacity.limit, 3),
         }
-        for name, one in state.pool.targets.items()
+        for name, target in state.pool.targets.items()
     }
 
 
-def _decisions(service):
+def _select_decisions(service):
     return streams if service.mode == 'stream' else requests
--- a/src/liftmount/_internal/services/metrics.py
+++ b/src/liftmount/_internal/services/metrics.py
@@ -5,7 +5,7 @@
 from liftmount._internal.clock import seconds
 from liftmount._internal.kernel import Service
 
-FLUSH_MS = 1_000
+FLUSH_INTERVAL_MS = 1_000
 
 
 class MetricsService(Service):
@@ -20,7 +20,7 @@
     async def run(self):
         """Flush until cancelled."""
         while True:
-            await asyncio.sleep(seconds(FLUSH_MS))
+            await asyncio.sleep(seconds(FLUSH_INTERVAL_MS))
             self.counters.flush()
 
     async def stop(self):
--- a/src/liftmount/_internal/services/peers.py
+++ b/src/liftmount/_internal/services/peers.py
@@ -25,8 +25,8 @@
 
 LOG = logging.getLogger('liftmount.peers')
 TICK_MS = 25
-PULL_EVERY_MS = 1_000
-FAREWELLS = 3
+PULL_INTERVAL_MS = 1_000
+FAREWELL_MEMBERS = 3
 
 
 class PeerService(TickingService):
@@ -42,7 +42,7 @@
         self.counters = counters
         self.socket = None
         self.state = None
-        self.stopping = False
+        self.is_stopping = False
         self._next_pull_ms = 0
 
     async def start(self):
@@ -89,7 +89,7 @@
         """Handle one message of another service."""
         match message:
             case ForwardPacket():
-                self._pass(message)
+                self._forward_packet(message)
             case ConfigurationChanged():
                 self.state.digest = message.digest
             case PlatformReachabilityChanged():
@@ -111,7 +111,7 @@
     def say_farewell(self):
         """Tell a few members at once that this one has left."""
         self._announce(status=MemberStatus.LEFT)
-        for member in self.state.reachable()[:FAREWELLS]:
+        for member in self.state.reachable()[:FAREWELL_MEMBERS]:
             self._execute(membership.farewell(self.state, member))
 
     def _publish(self, changed):
@@ -120,7 +120,7 @@
         )
         self.kernel.stream('members').on_next(message)
 
-    def _pass(self, message):
+    def _forward_packet(self, message):
         member = self.state.members.get(message.peer)
         if member is None:
             self.counters.refused(Reason.UNKNOWN_PEER)
@@ -152,7 +152,7 @@
                     self._log_change(action.member)
                     self._publish(action.member)
                 case membership.DigestDiffers():
-                    self._pull(action.member)
+                    self._request_pull(action.member)
                 case membership.BudgetSpent():
                     self.counters.refused(Reason.CONTROL_BUDGET_SPENT)
 
@@ -161,9 +161,9 @@
         status = member.status.name.lower()
         LOG.info('Member %s is %s.', member.name, status)
 
-    def _pull(self, member):
+    def _request_pull(self, member):
         now_ms = self.clock.now_ms()
         if now_ms < self._next_pull_ms:
             return
-        self._next_pull_ms = now_ms + PULL_EVERY_MS
+        self._next_pull_ms = now_ms + PULL_INTERVAL_MS
         self.kernel.post('control', PullObjects(member))
--- a/src/liftmount/_internal/services/platform.py
+++ b/src/liftmount/_internal/services/platform.py
@@ -45,15 +45,15 @@
 from liftmount._internal.utils.documents import structure
 
 LOG = logging.getLogger('liftmount.platform')
-STEP_MS = 200
-RETRY_MS = 5_000
-WATCH_RETRY_MS = 300
+STEP_INTERVAL_MS = 200
+MAX_RETRY_DELAY_MS = 5_000
+WATCH_RETRY_DELAY_MS = 300
 SECRET_BYTES = 32
-LIST_ALL_MS = 300_000
+RELIST_INTERVAL_MS = 300_000
 # Failed calls in a row before another member is to try.
-FAILURES_TO_YIELD = 2
+FAILURES_BEFORE_FAILOVER = 2
 # Members that try again while no one reaches the platform.
-TRYING_MEMBERS = 2
+RETRYING_MEMBERS = 2
 
 
 class PlatformService(Service):
@@ -70,7 +70,7 @@
         self.counters = counters
         self.store = store
         self.reader = ObjectReader(
-            store, lambda: self._store().objects, self._hand_on
+            store, lambda: self._local_store().objects, self._post_objects
         )
         self.lease = lease_decisions.LeaseState(
             name=identity.name,
@@ -87,8 +87,8 @@
         self._is_reached = True
         self._failures = 0
         self._retry_at_ms = 0
-        self._must_list = True
-        self._list_all_ms = 0
+        self._needs_list = True
+        self._next_list_ms = 0
         self._next_poll_ms = 0
         self._status = None
         self._status_version = None
@@ -115,7 +115,7 @@
         match message:
             case ConfigurationChanged():
                 self.view = message.view
-                self._conflicts = self._conflict_problems()
+                self._conflicts = self._find_conflicts()
                 self._claims_may_be_due = True
                 self._revision = message.revision
                 self._digest = message.digest
@@ -152,7 +152,7 @@
             [one for one in known if one.failure_domain == domain]
         )
 
-    def _may_call(self):
+    def _should_call(self):
         """Tell whether this member should call the platform now."""
         if self._members is None:
             return False
@@ -162,63 +162,65 @@
             return False
         if self.clock.now_ms() < self._retry_at_ms:
             return False
-        return self.identity.name in self._local_order()[:TRYING_MEMBERS]
+        return self.identity.name in self._local_order()[:RETRYING_MEMBERS]
 
-    def _note_success(self):
+    def _record_success(self):
         self._failures = 0
         if not self._is_reached:
             LOG.info('The platform is in reach again.')
             self._is_reached = True
-            self._must_list = True
-            self._list_all_ms = 0
+            self._needs_list = True
+            self._next_list_ms = 0
             self.kernel.post('peers', PlatformReachabilityChanged(True))
 
-    def _note_failure(self, error):
+    def _record_failure(self, error):
         self.counters.refused(Reason.PLATFORM_UNAVAILABLE)
         self._failures += 1
-        self._retry_at_ms = self.clock.now_ms() + self._retry_ms()
-        if self._is_reached and self._failures >= FAILURES_TO_YIELD:
+        self._retry_at_ms = self.clock.now_ms() + self._random_retry_delay_ms()
+        if self._is_reached and self._failures >= FAILURES_BEFORE_FAILOVER:
             LOG.warning('The platform is out of reach: %s.', error)
             self._is_reached = False
             self.kernel.post('peers', PlatformReachabilityChanged(False))
 
     @staticmethod
-    def _retry_ms():
-        return RETRY_MS // 2 + secrets.randbelow(RETRY_MS // 2)
+    def _random_retry_delay_ms():
+        return MAX_RETRY_DELAY_MS // 2 + secrets.randbelow(
+            MAX_RETRY_DELAY_MS // 2
+        )
 
     async def _step_forever(self):
         while True:
-            if self._may_call():
+            if self._should_call():
                 try:
                     await self._step()
-                    self._note_success()
+                    self._record_success()
                 except PlatformUnavailableError as error:
-                    self._note_failure(error)
+                    self._record_failure(error)
                 except ConflictError as error:
                     LOG.info('Another writer was first: %s.', error)
-                    self._must_list = True
-                    self._list_all_ms = 0
+                    self._needs_list = True
+                    self._next_list_ms = 0
                 except (PlatformError, ConfigurationError) as error:
                     LOG.warning('The platform refused: %s.', error)
-            await asyncio.sleep(seconds(STEP_MS))
+            await asyncio.sleep(seconds(STEP_INTERVAL_MS))
 
     async def _step(self):
         now_ms = self.clock.now_ms()
-        await self._keep_lease(now_ms)
-        if self._must_list or now_ms >= self._list_all_ms:
-            self._list_all_ms = now_ms + LIST_ALL_MS
+        await self._update_lease(now_ms)
+        if self._needs_list or now_ms >= self._next_list_ms:
+            self._next_list_ms = now_ms + RELIST_INTERVAL_MS
             await self.reader.list_all()
-            self._must_list = False
+            self._needs_list = False
         if now_ms >= self._next_poll_ms:
             self._next_poll_ms = now_ms + self.settings.platform.poll_ms
             await self.reader.read_instances()
         if self.lease.is_held(self.clock.now_ms()):
-            await self._report()
-            await self._do_duties()
+            await self._write_status()
+            await self._perform_duties()
 
     async def _watch_forever(self, kind):
         while True:
-            await asyncio.sleep(seconds(WATCH_RETRY_MS))
+            await asyncio.sleep(seconds(WATCH_RETRY_DELAY_MS))
             while self._is_root() and self._is_reached:
                 if not self.reader.may_watch(kind):
                     break
@@ -228,40 +230,40 @@
                     )
                 except HistoryGoneError:
                     LOG.info('The store forgot its history of %s.', kind)
-                    self._must_list = True
+                    self._needs_list = True
                 except PlatformError as error:
                     # The next step finds out whether others fail too.
                     LOG.info('A watch of %s ended: %s.', kind, error)
                     break
 
-    def _hand_on(self, objects, source):
+    def _post_objects(self, objects, source):
         self.kernel.post('configuration', ObjectsReceived(objects, source))
 
     # The lease.
 
-    async def _keep_lease(self, now_ms):
+    async def _update_lease(self, now_ms):
         tick = Tick(now_ms)
         steps = lease_decisions.decide(self.lease, tick, self._is_root())
         for step in steps:
-            await self._lease_step(step)
+            await self._execute_lease_step(step)
 
-    async def _lease_step(self, step):
+    async def _execute_lease_step(self, step):
         asked_ms = self.clock.now_ms()
         key = f'{ObjectKind.LEASE.value}/{self.identity.failure_domain}'
         match step:
             case lease_decisions.ReadLease():
                 found = await self.store.get(key)
-                event = self._lease_read(found, asked_ms)
+                event = self._make_lease_read(found, asked_ms)
                 further = lease_decisions.decide(
                     self.lease, event, self._is_root()
                 )
                 for one in further:
-                    await self._lease_step(one)
+                    await self._execute_lease_step(one)
             case lease_decisions.WriteLease():
                 await self._write_lease(key, step, asked_ms)
 
     @staticmethod
-    def _lease_read(found, now_ms):
+    def _make_lease_read(found, now_ms):
         value = None
         version = 0
         if found is not None:
@@ -292,7 +294,7 @@
 
     # Duties of the holder.
 
-    async def _report(self):
+    async def _write_status(self):
         """Write the status of the domain when it has changed."""
         status = self._make_status()
         if status == self._status and self._status_version is not None:
@@ -357,7 +359,7 @@
         }
         return names | set(self._local_order()) | {self.identity.name}
 
-    def _conflict_problems(self):
+    def _find_conflicts(self):
         problems = {}
         for address, services in self.view.wanted.items():
             if len(services) > 1:
@@ -366,7 +368,7 @@
                 problems[f'claim/{address}'] = text
         return problems
 
-    async def _do_duties(self):
+    async def _perform_duties(self):
         if self.view.keys is None or self._key_is_due():
             await self._rotate_key()
         if self._claims_may_be_due:
@@ -374,7 +376,7 @@
         if self._claims_may_be_due:
             await self._write_claims()
 
-    def _domains(self):
+    def _live_domains(self):
         return {
             entry.failure_domain
             for entry in self.reader.instances.values()
@@ -390,7 +392,7 @@
         return age_ms >= self.settings.lease.key_rotation_ms
 
     async def _rotate_key(self):
-        found = self._store().objects.get(FLOW_KEY_OBJECT)
+        found = self._local_store().objects.get(FLOW_KEY_OBJECT)
         version = found.version if found else 0
         statuses = await read_statuses(self.store) if found else []
         times = key_decisions.RotationTimes(
@@ -400,7 +402,7 @@
         changed = key_decisions.decide(
             self.view.keys,
             times,
-            claim_decisions.in_force(version, statuses, self._domains()),
+            claim_decisions.in_force(version, statuses, self._live_domains()),
             secrets.token_hex(SECRET_BYTES),
             self.clock.wall_ms(),
         )
@@ -409,7 +411,7 @@
         value = asdict(changed)
         await self._write_object(FLOW_KEY_OBJECT, value, version)
 
-    def _store(self):
+    def _local_store(self):
         return self.kernel.lookup('configuration').store
 
     async def _write_object(self, key, value, version):
@@ -420,7 +422,7 @@
         self.kernel.post('configuration', arrived)
 
     def _claims_are_due(self):
-        claims = self._claims()
+        claims = self._current_claims()
         for address, services in self.view.wanted.items():
             known = claims.get(str(address))
             if known is None:
@@ -433,8 +435,8 @@
                 return True
         return False
 
-    def _claims(self):
-        store = self._store()
+    def _current_claims(self):
+        store = self._local_store()
         prefix = ObjectKind.CLAIM.value + '/'
         return {
             key.removeprefix(prefix): (store.objects[key].version, claim)
@@ -445,7 +447,7 @@
     async def _write_claims(self):
         statuses = await read_statuses(self.store)
         steps = claim_decisions.decide(
-            self.view, self._claims(), statuses, self._domains()
+            self.view, self._current_claims(), statuses, self._live_domains()
         )
         for step in steps:
             if isinstance(step, claim_decisions.WriteClaim):
--- a/src/liftmount/_internal/services/targets.py
+++ b/src/liftmount/_internal/services/targets.py
@@ -29,10 +29,10 @@
 from liftmount._internal.network import target_frames as frames
 
 LOG = logging.getLogger('liftmount.targets')
-CONNECT_MS = 1_000
-PING_MS = 1_000
-PONG_MS = 3_000
-FRAME_MARGIN_BYTES = 4_096
+CONNECT_TIMEOUT_MS = 1_000
+PING_INTERVAL_MS = 1_000
+PING_TIMEOUT_MS = 3_000
+FRAME_OVERHEAD_BYTES = 4_096
 
 
 @define(eq=False)
@@ -46,7 +46,7 @@
     requests: dict = Factory(dict)
     streams: set = Factory(set)
     is_open: bool = False
-    used_ms: int = 0
+    last_used_ms: int = 0
     task: asyncio.Task | None = None
 
     def post(self, action) -> None:
@@ -83,23 +83,23 @@
         """Handle one message of another service."""
         match message:
             case act.SendRequest() | act.AttachStream():
-                self._write(message)
+                self._submit(message)
             case act.SendCancel() | act.DetachStream():
                 link = self.links.get(message.target)
                 if link is not None:
                     link.post(message)
             case ConfigurationChanged():
-                self._locate(message.view)
+                self._update_locations(message.view)
             case _:
                 super().handle(message)
 
-    def _locate(self, view):
+    def _update_locations(self, view):
         self.view = view
         for name, link in list(self.links.items()):
             if view.location(name) != link.location:
                 link.task.cancel()
 
-    def _write(self, action):
+    def _submit(self, action):
         link = self.links.get(action.target) or self._connect(action.target)
         if link is None:
             self._report_unwritten([action], action.target)
@@ -111,22 +111,22 @@
         if location is None:
             return None
         if len(self.links) >= self.settings.limits.max_connections:
-            self._close_idlest()
-        link = Link(target, location, used_ms=self.clock.now_ms())
+            self._close_least_recent()
+        link = Link(target, location, last_used_ms=self.clock.now_ms())
         self.links[target] = link
         link.task = asyncio.create_task(self._run_link(link))
         self._tasks.add(link.task)
         link.task.add_done_callback(self._tasks.discard)
         return link
 
-    def _close_idlest(self):
+    def _close_least_recent(self):
         idle = [
             one
             for one in self.links.values()
             if not one.requests and not one.streams and not one.queue
         ]
         if idle:
-            min(idle, key=lambda one: one.used_ms).task.cancel()
+            min(idle, key=lambda one: one.last_used_ms).task.cancel()
 
     async def _run_link(self, link):
         try:
@@ -137,41 +137,41 @@
         except TimeoutError:
             LOG.info('Connection to %s timed out.', link.target)
         finally:
-            self._close_books(link)
+            self._report_lost(link)
 
     async def _serve(self, link):
         url = f'ws://{link.location}/'
         async with connect(
             url,
-            open_timeout=seconds(CONNECT_MS),
-            ping_interval=seconds(PING_MS),
-            ping_timeout=seconds(PONG_MS),
+            open_timeout=seconds(CONNECT_TIMEOUT_MS),
+            ping_interval=seconds(PING_INTERVAL_MS),
+            ping_timeout=seconds(PING_TIMEOUT_MS),
             close_timeout=0.2,
             compression=None,
             proxy=None,
-            max_size=MAX_BODY_BYTES + FRAME_MARGIN_BYTES,
+            max_size=MAX_BODY_BYTES + FRAME_OVERHEAD_BYTES,
             local_addr=(self._local_ip, 0),
         ) as socket:
-            async with asyncio.timeout(seconds(CONNECT_MS)):
+            async with asyncio.timeout(seconds(CONNECT_TIMEOUT_MS)):
                 hello = frames.CODEC.decode(await socket.recv())
-            if not self._is_expected(link, hello):
+            if not self._verify_identity(link, hello):
                 return
             link.is_open = True
             met = TargetConnected(link.target, hello.incarnation)
             self.kernel.post('data', met)
             if hello.is_draining:
-                self._turn_away(link)
-            await self._pump(link, socket)
+                self._reject_queued(link)
+            await self._exchange_frames(link, socket)
 
-    def _turn_away(self, link):
+    def _reject_queued(self, link):
         """Give back what was meant for a target that is leaving."""
         notice = TargetDraining(link.target, True)
         self.kernel.post('data', notice)
-        self._report_unwritten(_new_work(link.queue), link.target)
+        self._report_unwritten(_select_new_work(link.queue), link.target)
         link.queue.clear()
 
-    async def _pump(self, link, socket):
-        writer = asyncio.create_task(self._write_all(link, socket))
+    async def _exchange_frames(self, link, socket):
+        writer = asyncio.create_task(self._write_queued(link, socket))
         try:
             async for frame in socket:
                 self._on_frame(link, frames.CODEC.decode(frame))
@@ -179,7 +179,7 @@
             writer.cancel()
             await asyncio.gather(writer, return_exceptions=True)
 
-    def _is_expected(self, link, hello):
+    def _verify_identity(self, link, hello):
         team, _separator, name = link.target.partition('/')
         match hello:
             case frames.TargetHello(name=found, team=found_team):
@@ -189,11 +189,11 @@
         LOG.warning('Another target answers for %s.', link.target)
         return False
 
-    async def _write_all(self, link, socket):
+    async def _write_queued(self, link, socket):
         while True:
             while link.queue:
                 action = link.queue.popleft()
-                link.used_ms = self.clock.now_ms()
+                link.last_used_ms = self.clock.now_ms()
                 await self._write_one(link, socket, action)
             link.wake.clear()
             await link.wake.wait()
@@ -255,7 +255,7 @@
                 raise PacketError(f'unexpected frame {frame!r}')
         self.kernel.post('data', event)
 
-    def _close_books(self, link):
+    def _report_lost(self, link):
         """Report what the end of a connection leaves open."""
         if self.links.get(link.target) is link:
             del self.links[link.target]
@@ -266,7 +266,7 @@
         for nonce in link.streams:
             lost = events.StreamLost(nonce, link.target, now_ms)
             self.kernel.post('data', lost)
-        self._report_unwritten(_new_work(link.queue), link.target)
+        self._report_unwritten(_select_new_work(link.queue), link.target)
 
     def _report_unwritten(self, actions, target):
         now_ms = self.clock.now_ms()
@@ -281,7 +281,7 @@
             self.kernel.post('data', event)
 
 
-def _new_work(actions):
+def _select_new_work(actions):
     """Return the actions that begin something at a target."""
     kinds = act.SendRequest | act.AttachStream
     return [one for one in actions if isinstance(one, kinds)]
