--- a/src/liftmount/_internal/clock.py
+++ b/src/liftmount/_internal/clock.py
@@ -1,4 +1,4 @@
-"""The millisecond clock; nothing else in the project reads time."""
+"""Clocks in milliseconds, from which services read the time."""
 
 import time
 
@@ -9,24 +9,24 @@
 
 
 class Clock:
-    """Reads the time of this host in whole milliseconds."""
+    """The clock of this host."""
 
     def now_ms(self) -> int:
         """Return monotonic milliseconds, for intervals and deadlines."""
         return time.monotonic_ns() // NANOSECONDS_PER_MS
 
     def wall_ms(self) -> int:
-        """Return milliseconds since the Unix epoch, for other readers."""
+        """Return Unix time in milliseconds, for values other hosts read."""
         return time.time_ns() // NANOSECONDS_PER_MS
 
     def precise_ms(self) -> float:
-        """Return monotonic milliseconds with fractions, for benches."""
+        """Return monotonic milliseconds with fractions, for benchmarks."""
         return time.perf_counter_ns() / NANOSECONDS_PER_MS
 
 
 @define
 class ManualClock(Clock):
-    """A clock that a bench or a test moves by hand."""
+    """A clock that tests and benchmarks advance themselves."""
 
     time_ms: int = 0
 
@@ -39,11 +39,11 @@
         return self.time_ms
 
     def advance(self, step_ms: int) -> int:
-        """Move the clock forward by ``step_ms`` and return the time."""
+        """Advance the clock by ``step_ms`` and return the new time."""
         self.time_ms += step_ms
         return self.time_ms
 
 
 def seconds(interval_ms: float) -> float:
-    """Convert milliseconds to the seconds that asyncio expects."""
+    """Convert milliseconds to seconds, as asyncio expects them."""
     return interval_ms / MS_PER_SECOND
--- a/src/liftmount/_internal/kernel.py
+++ b/src/liftmount/_internal/kernel.py
@@ -1,9 +1,10 @@
-"""The micro-kernel: services that find each other by name.
+"""The kernel: a registry of services and streams, and their life cycle.
 
-A service is one task that owns its sockets and its state.  It gets typed
-messages through its mailbox and knows others only by their names.  What
-changes slowly and interests many, such as the configuration in force, is
-a reactivex stream that the kernel holds by name.
+A service is one asyncio task that owns its sockets and its state.  It
+receives typed messages through its mailbox and finds other services in
+the kernel by name.  State with many readers, such as the configuration in
+force, is published on a reactivex stream, which the kernel also holds by
+name.
 """
 
 import asyncio
@@ -22,7 +23,10 @@
 
 
 class Service:
-    """Base of a service; subclasses set ``name`` and handle messages."""
+    """Base class: subclasses set ``name`` and extend ``handle``.
+
+    ``dropped`` counts the messages lost to a full mailbox.
+    """
 
     name = ''
 
@@ -34,7 +38,7 @@
         self.dropped = 0
 
     def post(self, message) -> None:
-        """Put a message into the mailbox; drops it when that is full."""
+        """Add a message to the mailbox, or drop it if that is full."""
         if len(self._mailbox) >= MAX_MAILBOX_MESSAGES:
             self.dropped += 1
             return
@@ -42,7 +46,7 @@
         self._wake.set()
 
     async def start(self) -> None:
-        """Open sockets; called once before ``run``, in given order."""
+        """Open sockets; called once before ``run``."""
 
     async def run(self) -> None:
         """Handle messages until cancelled."""
@@ -53,28 +57,28 @@
                 self.handle(self._mailbox.popleft())
 
     def handle(self, message) -> None:
-        """Handle one message."""
-        raise TypeError(f'{self.name} got unknown message {message!r}')
+        """Handle one message; raise TypeError if its type is unknown."""
+        raise TypeError(f'{self.name} received unknown message {message!r}')
 
     async def stop(self) -> None:
         """Close sockets; called once at the end."""
 
 
 class TickingService(Service):
-    """A service that also lets time pass; subclasses define ``tick``."""
+    """A service with periodic work; subclasses define ``tick``."""
 
     tick_ms = 0
 
     def tick(self) -> None:
-        """Let time pass; called each ``tick_ms``."""
+        """Do the periodic work; called every ``tick_ms``."""
         raise NotImplementedError
 
     def tasks(self) -> list:
-        """Return what runs beside the handling of messages."""
+        """Return the coroutines to run besides message handling."""
         return [self._tick_forever()]
 
     async def run(self) -> None:
-        """Handle messages and let time pass until cancelled."""
+        """Handle messages and run ``tasks`` until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(super().run())
             for task in self.tasks():
@@ -88,7 +92,7 @@
 
 @define
 class Kernel:
-    """Registry of services and of streams, and their life cycle."""
+    """Registry of services and streams; starts, runs and stops services."""
 
     clock: Clock
     services: dict[str, Service] = Factory(dict)
@@ -96,23 +100,26 @@
     _tasks: asyncio.TaskGroup | None = None
 
     def register(self, service: Service) -> None:
-        """Make a service known under its name."""
+        """Add a service under its name; services start in this order."""
         self.services[service.name] = service
 
     def lookup(self, name: str) -> Service:
-        """Return the service of a name; raises ServiceNotFoundError."""
+        """Return a service by name; raise ServiceNotFoundError if absent."""
         try:
             return self.services[name]
         except KeyError:
             raise ServiceNotFoundError(name) from None
 
     def post(self, name: str, message) -> None:
-        """Send a message to the service of a name."""
+        """Post a message to a service by name."""
         self.lookup(name).post(message)
 
     def stream(self, name: str):
-        """Return the reactivex subject of a name; it repeats its last item."""
-        # A balancer on the platform serves before it imports the library.
+        """Return a reactivex subject by name, created on first use.
+
+        A new subscriber receives the last item published.
+        """
+        # Imported late: a balancer on the platform starts serving without it.
         from reactivex.subject import ReplaySubject
 
         if name not in self.streams:
@@ -120,13 +127,13 @@
         return self.streams[name]
 
     async def add(self, service: Service) -> None:
-        """Start one more service while the others run."""
+        """Start and run one more service while the others run."""
         await service.start()
         self.register(service)
         self._tasks.create_task(service.run(), name=service.name)
 
     async def run(self) -> None:
-        """Start all services and run them until one fails or cancelled."""
+        """Run all services until one fails or this task is cancelled."""
         try:
             for service in self.services.values():
                 await service.start()
--- a/src/liftmount/_internal/services/__init__.py
+++ b/src/liftmount/_internal/services/__init__.py
@@ -1,7 +1,8 @@
-"""Tasks of a daemon: each owns its sockets and state, and gets messages.
+"""Services of a balancer; each owns its sockets and its state.
 
-``entry`` puts together a balancer on the platform (``packets``, ``feeds``,
-``group``, ``probes``, ``readiness``, ``metrics_page``); ``cli/daemon.py``
-one that speaks the project's own interface (``data``, ``targets``,
-``control``, ``platform``, ``peers``, ``configuration``, ``metrics``).
+Two programs are composed of them.  ``entry`` runs a balancer on the
+platform, from ``packets``, ``feeds``, ``group``, ``probes``, ``readiness``
+and ``metrics_page``.  ``cli/daemon.py`` runs liftmountd, which uses
+liftmount's own protocol, from ``data``, ``targets``, ``control``,
+``platform``, ``peers``, ``configuration`` and ``metrics``.
 """
--- a/src/liftmount/_internal/services/configuration.py
+++ b/src/liftmount/_internal/services/configuration.py
@@ -1,4 +1,4 @@
-"""Configuration: what is in force on this balancer."""
+"""The configuration in force on this balancer."""
 
 import logging
 
@@ -14,7 +14,7 @@
 
 
 class ConfigurationService(Service):
-    """Owns the object store and publishes the view of it."""
+    """Owns the object store and publishes its ConfigurationView."""
 
     name = 'configuration'
 
@@ -45,7 +45,7 @@
                 self._log_problems(item.key)
         if not changed:
             return
-        LOG.info('Took %d objects from %s.', len(changed), message.source)
+        LOG.info('Applied %d objects from %s.', len(changed), message.source)
         published = ConfigurationChanged(
             view=self._builder.build(self.store),
             revision=self.store.revision,
--- a/src/liftmount/_internal/services/control.py
+++ b/src/liftmount/_internal/services/control.py
@@ -1,7 +1,8 @@
-"""Control traffic between balancers, and the tool's questions.
+"""Control connections between balancers, and inspection by the tool.
 
-Changes of configuration run down the relay tree of the failure domain;
-reports of who holds what run up.
+Configuration changes are relayed down the relay tree of the failure
+domain, from parent to children.  Reports of the configuration that each
+balancer has applied are aggregated up the tree, to the root.
 """
 
 import asyncio
@@ -39,6 +40,8 @@
 
 @define(eq=False)
 class _Child:
+    """A child in the relay tree and the frames queued for it."""
+
     name: str
     socket: object
     outbox: asyncio.Queue = Factory(asyncio.Queue)
@@ -66,7 +69,7 @@
         self._tasks = set()
 
     async def start(self):
-        """Bind the socket and follow members and configuration."""
+        """Bind the socket; subscribe to configuration and members."""
         listen = self.settings.listen.control
         self._server = await serve(
             self._on_connection,
@@ -92,7 +95,7 @@
             self._server.close()
 
     async def run(self):
-        """Handle messages, and stay connected to the parent."""
+        """Handle messages and keep a subscription to the parent."""
         async with asyncio.TaskGroup() as group:
             group.create_task(super().run())
             group.create_task(self._maintain_subscription())
@@ -115,7 +118,7 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    # Down the tree.
+    # Configuration, down the relay tree.
 
     def _relay_to_children(self, message):
         rows = frames.pack_objects(message.changed)
@@ -180,9 +183,9 @@
                 async for frame in socket:
                     self._post_objects(frame, parent.name)
         except (TimeoutError, OSError, WebSocketException) as error:
-            LOG.info('Parent %s is out of reach: %r.', parent.name, error)
+            LOG.info('Parent %s is unreachable: %r.', parent.name, error)
         except PacketError as error:
-            LOG.warning('Parent %s sent %s.', parent.name, error)
+            LOG.warning('Bad frame from parent %s: %s.', parent.name, error)
         finally:
             self._parent_socket = None
 
@@ -197,7 +200,7 @@
             self.kernel.post('configuration', arrived)
 
     async def _pull(self, member):
-        """Fetch from any member what this balancer lacks."""
+        """Fetch the objects that this balancer lacks from ``member``."""
         request = frames.SyncRequest(self._local_store().versions())
         try:
             async with self._connect(member) as socket:
@@ -208,12 +211,12 @@
         except (TimeoutError, OSError, WebSocketException) as error:
             LOG.info('Cannot pull from %s: %r.', member.name, error)
         except PacketError as error:
-            LOG.warning('Member %s sent %s.', member.name, error)
+            LOG.warning('Bad frame from member %s: %s.', member.name, error)
 
-    # Up the tree.
+    # Reports, up the relay tree.
 
     def _schedule_report(self):
-        """Report for the subtree soon, once for all that comes at once."""
+        """Schedule one report, which covers all changes until then."""
         if self._report_timer is None:
             loop = asyncio.get_running_loop()
             delay_s = seconds(REPORT_DELAY_MS)
@@ -235,7 +238,7 @@
         except WebSocketException:
             pass
 
-    # Connections of others.
+    # Incoming connections: children, other members and the tool.
 
     async def _on_connection(self, socket):
         child = None
@@ -255,7 +258,7 @@
         except WebSocketException:
             pass
         except (PacketError, ValueError, TypeError) as error:
-            LOG.warning('Refused a control frame: %s.', error)
+            LOG.warning('Invalid control frame: %s.', error)
         finally:
             self._remove_child(child)
 
@@ -314,6 +317,7 @@
         return {member.name: member.status.name.lower() for member in known}
 
 
+# Services that answer about a subject, by the subject.
 _INSPECTED_SERVICES = {
     'flow': ('data',),
     'instance': ('data', 'configuration', 'platform'),
--- a/src/liftmount/_internal/services/data.py
+++ b/src/liftmount/_internal/services/data.py
@@ -1,4 +1,8 @@
-"""The data path: packets of callers, and the flows at home here."""
+"""Data path: routes callers' packets and serves the flows homed here.
+
+A packet arrives from the fabric or from another balancer.  Routing decides
+whether it is handled here, forwarded to another balancer or refused.
+"""
 
 from functools import lru_cache
 import logging
@@ -53,21 +57,20 @@
 
 LOG = logging.getLogger('liftmount.data')
 TICK_MS = 20
-# A nonce fits the integers of packets.
-NONCE_BITS = 53
-REBINDS_PER_TICK = 200
+NONCE_BITS = 53  # integers in packets are limited to 2**53
+REBINDS_PER_TICK = 200  # spreads out the reconnections
 REBIND_PLANNING_MS = 1_000
 QUIET_PERIOD_MS = 1_500
 
 
 @lru_cache(maxsize=262_144)
 def _intern_endpoint(ip, port):
-    """Return one shared Endpoint for each address met."""
+    """Return the shared Endpoint of an address."""
     return Endpoint(ip, port)
 
 
 class DataService(TickingService):
-    """Owns the socket to the fabric, routing state and home state."""
+    """Owns the fabric socket, the routing state and the home state."""
 
     name = 'data'
     tick_ms = TICK_MS
@@ -92,7 +95,7 @@
         self.routing.ownership.add(identity.name, identity.failure_domain)
 
     async def start(self):
-        """Bind the socket and follow configuration and members."""
+        """Bind the socket; subscribe to configuration and members."""
         listen = self.settings.listen.fabric
         self.fabric = await UdpSocket.bind(listen, self._on_fabric_datagram)
         self.kernel.stream('configuration').subscribe(self.post)
@@ -104,7 +107,7 @@
             self.fabric.close()
 
     def tick(self):
-        """Let time pass."""
+        """Expire requests, streams and pieces; send due rebind requests."""
         now_ms = self.clock.now_ms()
         self._execute(requests.decide(self.home, Tick(now_ms)))
         self._execute(streams.expire(self.home, now_ms))
@@ -121,7 +124,12 @@
         self._next_planning_ms = now_ms + REBIND_PLANNING_MS
 
     def has_finished(self) -> bool:
-        """Tell whether a planned stop would cut nothing now."""
+        """Return whether a planned stop would interrupt nothing now.
+
+        No request may be pending.  Remaining flows do not count after
+        three planning rounds, once no packet has arrived for
+        ``QUIET_PERIOD_MS``.
+        """
         unfinished = any(
             not request.finished for request in self.home.pending.values()
         )
@@ -160,7 +168,7 @@
             case _:
                 super().handle(message)
 
-    # Packets in.
+    # Received packets.
 
     def _on_fabric_datagram(self, data, _source):
         try:
@@ -315,7 +323,7 @@
         )
         self._execute(requests.decide(self.home, arrived))
 
-    # Actions out.
+    # Actions returned by the decisions.
 
     def _execute(self, actions):
         for action in actions:
@@ -403,7 +411,7 @@
         )
         self.fabric.send(encode_fabric(envelope), self._return_address)
 
-    # What other services tell.
+    # Messages from other services.
 
     def _apply_configuration(self, view):
         self.view = view
@@ -455,7 +463,7 @@
         self._plan_rebinds(now_ms)
 
     def _set_leaving(self, is_leaving):
-        LOG.info('Leaving.' if is_leaving else 'Staying after all.')
+        LOG.info('Draining.' if is_leaving else 'Drain cancelled.')
         self.home.leaving = is_leaving
         self.routing.leaving = is_leaving
         identity = self.identity
@@ -464,7 +472,7 @@
         else:
             self.routing.ownership.add(identity.name, identity.failure_domain)
 
-    # The command-line tool.
+    # Inspection by the command-line tool.
 
     def _inspect(self, message):
         if message.subject == 'flow':
--- a/src/liftmount/_internal/services/metrics.py
+++ b/src/liftmount/_internal/services/metrics.py
@@ -1,4 +1,4 @@
-"""Sends counters by statsd at an interval."""
+"""Periodic export of counters to statsd."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 
 
 class MetricsService(Service):
-    """Owns the statsd client."""
+    """Flushes the counters to statsd every ``FLUSH_INTERVAL_MS``."""
 
     name = 'metrics'
 
@@ -18,11 +18,11 @@
         self.counters = counters
 
     async def run(self):
-        """Flush until cancelled."""
+        """Flush periodically until cancelled."""
         while True:
             await asyncio.sleep(seconds(FLUSH_INTERVAL_MS))
             self.counters.flush()
 
     async def stop(self):
-        """Send what is left."""
+        """Flush the remaining counts."""
         self.counters.flush()
--- a/src/liftmount/_internal/services/peers.py
+++ b/src/liftmount/_internal/services/peers.py
@@ -1,4 +1,4 @@
-"""Other balancers: membership, and packets passed between balancers."""
+"""Peer socket: membership messages and packets between balancers."""
 
 import logging
 
@@ -26,11 +26,11 @@
 LOG = logging.getLogger('liftmount.peers')
 TICK_MS = 25
 PULL_INTERVAL_MS = 1_000
-FAREWELL_MEMBERS = 3
+FAREWELL_MEMBERS = 3  # the others learn it by gossip
 
 
 class PeerService(TickingService):
-    """Owns the socket between balancers and the membership state."""
+    """Owns the peer socket and the membership state."""
 
     name = 'peers'
     tick_ms = TICK_MS
@@ -46,7 +46,7 @@
         self._next_pull_ms = 0
 
     async def start(self):
-        """Bind the socket; the control service must be bound before."""
+        """Bind the socket; the control service must have started before."""
         listen = self.settings.listen.peer
         self.socket = await UdpSocket.bind(listen, self._on_datagram)
         control = self.kernel.lookup('control').address
@@ -79,7 +79,7 @@
             self.socket.close()
 
     def tick(self):
-        """Let time pass."""
+        """Advance the membership protocol."""
         self._execute(self._decide(Tick(self.clock.now_ms())))
 
     def _decide(self, event):
@@ -109,7 +109,7 @@
         self._publish(None)
 
     def say_farewell(self):
-        """Tell a few members at once that this one has left."""
+        """Send the status LEFT to a few members immediately."""
         self._announce(status=MemberStatus.LEFT)
         for member in self.state.reachable()[:FAREWELL_MEMBERS]:
             self._execute(membership.farewell(self.state, member))
--- a/src/liftmount/_internal/services/platform.py
+++ b/src/liftmount/_internal/services/platform.py
@@ -1,7 +1,11 @@
-"""The store: lease, watch, status and the lease holder's duties.
-
-Only the root of a failure domain's relay tree calls the platform, so the
-number of calls grows with failure domains and not with balancers.
+"""Calls to the platform's store: lease, watches, status and claims.
+
+Only the root of a failure domain's relay tree calls the store, so that
+the number of calls grows with the failure domains and not with the
+balancers.  A root whose calls fail announces that, and another member
+becomes the root; if no member reaches the store, the first ones in the
+relay order retry.  The member that holds the domain's lease writes the
+status of the domain and claims, and rotates the flow key.
 """
 
 import asyncio
@@ -50,14 +54,14 @@
 WATCH_RETRY_DELAY_MS = 300
 SECRET_BYTES = 32
 RELIST_INTERVAL_MS = 300_000
-# Failed calls in a row before another member is to try.
+# Consecutive failed calls before another member becomes the root.
 FAILURES_BEFORE_FAILOVER = 2
-# Members that try again while no one reaches the platform.
+# Members, first in the relay order, that retry an unreachable platform.
 RETRYING_MEMBERS = 2
 
 
 class PlatformService(Service):
-    """Owns the client of the store and the lease state."""
+    """Owns the store client and the lease state."""
 
     name = 'platform'
 
@@ -94,7 +98,7 @@
         self._status_version = None
 
     async def start(self):
-        """Follow members and configuration."""
+        """Subscribe to configuration and members."""
         self.kernel.stream('configuration').subscribe(self.post)
         self.kernel.stream('members').subscribe(self.post)
 
@@ -103,7 +107,7 @@
         self.store.close()
 
     async def run(self):
-        """Handle messages; as root of the domain, call the platform."""
+        """Handle messages; as root of the domain, call the store."""
         async with asyncio.TaskGroup() as group:
             group.create_task(super().run())
             group.create_task(self._step_forever())
@@ -137,7 +141,7 @@
             'epoch': self.lease.epoch,
         }
 
-    # Who calls the platform.
+    # Which member calls the platform.
 
     def _is_root(self):
         if self._members is None:
@@ -153,7 +157,7 @@
         )
 
     def _should_call(self):
-        """Tell whether this member should call the platform now."""
+        """Return whether this member should call the platform now."""
         if self._members is None:
             return False
         if self._is_root() and self._is_reached:
@@ -167,7 +171,7 @@
     def _record_success(self):
         self._failures = 0
         if not self._is_reached:
-            LOG.info('The platform is in reach again.')
+            LOG.info('The platform is reachable again.')
             self._is_reached = True
             self._needs_list = True
             self._next_list_ms = 0
@@ -178,7 +182,7 @@
         self._failures += 1
         self._retry_at_ms = self.clock.now_ms() + self._random_retry_delay_ms()
         if self._is_reached and self._failures >= FAILURES_BEFORE_FAILOVER:
-            LOG.warning('The platform is out of reach: %s.', error)
+            LOG.warning('The platform is unreachable: %s.', error)
             self._is_reached = False
             self.kernel.post('peers', PlatformReachabilityChanged(False))
 
@@ -197,11 +201,11 @@
                 except PlatformUnavailableError as error:
                     self._record_failure(error)
                 except ConflictError as error:
-                    LOG.info('Another writer was first: %s.', error)
+                    LOG.info('Write conflict: %s.', error)
                     self._needs_list = True
                     self._next_list_ms = 0
                 except (PlatformError, ConfigurationError) as error:
-                    LOG.warning('The platform refused: %s.', error)
+                    LOG.warning('Platform call failed: %s.', error)
             await asyncio.sleep(seconds(STEP_INTERVAL_MS))
 
     async def _step(self):
@@ -229,11 +233,11 @@
                         kind, self.settings.platform.watch_ms
                     )
                 except HistoryGoneError:
-                    LOG.info('The store forgot its history of %s.', kind)
+                    LOG.info('Watch history of %s expired; relisting.', kind)
                     self._needs_list = True
                 except PlatformError as error:
-                    # The next step finds out whether others fail too.
-                    LOG.info('A watch of %s ended: %s.', kind, error)
+                    # The next step's calls show whether the platform is down.
+                    LOG.info('Watch of %s ended: %s.', kind, error)
                     break
 
     def _post_objects(self, objects, source):
@@ -290,12 +294,12 @@
         lease_decisions.decide(self.lease, written)
         if not was_held:
             self._status_version = None
-            LOG.info('Took the lease, epoch %d.', step.value.epoch)
+            LOG.info('Acquired the lease, epoch %d.', step.value.epoch)
 
-    # Duties of the holder.
+    # Duties of the lease holder.
 
     async def _write_status(self):
-        """Write the status of the domain when it has changed."""
+        """Write the status of the failure domain if it has changed."""
         status = self._make_status()
         if status == self._status and self._status_version is not None:
             return
@@ -313,7 +317,7 @@
         self._status = status
 
     def _check_epoch(self, value):
-        """Stop acting when a later holder has reported already."""
+        """Give up the lease if a later holder has written a status."""
         if value.get('epoch', 0) > self.lease.epoch:
             self.lease.held_until_ms = 0
             self.counters.refused(Reason.LEASE_LOST)
@@ -344,10 +348,9 @@
         )
 
     def _expected_balancers(self):
-        """Return the balancers of the domain that must follow changes.
+        """Return the balancers of the domain that must apply changes.
 
-        These are the live ones of the instance list, which lags, and the
-        live members.
+        The instance list lags behind, so the live members are added.
         """
         domain = self.identity.failure_domain
         names = {
@@ -415,7 +418,7 @@
         return self.kernel.lookup('configuration').store
 
     async def _write_object(self, key, value, version):
-        """Write an object of the system's own, and take it over."""
+        """Write an object that liftmount owns, and apply it here."""
         written = await write_and_resolve(self.store, key, value, version)
         item = StoredObject(key, written, value)
         arrived = ObjectsReceived([item], 'this balancer')
@@ -455,6 +458,6 @@
 
     async def _write_claim(self, step):
         key = f'{ObjectKind.CLAIM.value}/{step.address}'
-        LOG.info('Claim of %s: %s.', step.address, step.claim)
+        LOG.info('Writing claim of %s: %s.', step.address, step.claim)
         value = asdict(step.claim)
         await self._write_object(key, value, step.expected_version)
--- a/src/liftmount/_internal/services/targets.py
+++ b/src/liftmount/_internal/services/targets.py
@@ -1,8 +1,8 @@
-"""Connections to targets: one each, opened on demand.
+"""Connections to targets: one websocket per target, opened on demand.
 
-A connection neither repeats nor reorders, so a request written once
-arrives at most once.  The target's identity is checked before anything is
-written; whoever now answers at its address gets nothing.
+A connection neither repeats nor reorders frames, so a request that is
+written once arrives at most once.  The target's identity is verified
+before anything is written, as its address may have been reassigned.
 """
 
 import asyncio
@@ -37,7 +37,11 @@
 
 @define(eq=False)
 class Link:
-    """One connection to a target, or the attempt at one."""
+    """A connection to a target, open or being opened.
+
+    ``requests`` holds the written requests without an answer, by id, and
+    ``streams`` the nonces of the attached streams.
+    """
 
     target: str
     location: Endpoint
@@ -70,7 +74,7 @@
         self._local_ip = settings.listen.peer.ip
 
     async def start(self):
-        """Follow the configuration."""
+        """Subscribe to the configuration."""
         self.kernel.stream('configuration').subscribe(self.post)
 
     async def stop(self):
@@ -133,9 +137,9 @@
             await self._serve(link)
         except (OSError, WebSocketException, PacketError) as error:
             name = type(error).__name__
-            LOG.info('Connection to %s ended: %s.', link.target, name)
+            LOG.info('Connection to target %s ended: %s.', link.target, name)
         except TimeoutError:
-            LOG.info('Connection to %s timed out.', link.target)
+            LOG.info('Connection to target %s timed out.', link.target)
         finally:
             self._report_lost(link)
 
@@ -164,7 +168,7 @@
             await self._exchange_frames(link, socket)
 
     def _reject_queued(self, link):
-        """Give back what was meant for a target that is leaving."""
+        """Report the queued new work of a draining target as not written."""
         notice = TargetDraining(link.target, True)
         self.kernel.post('data', notice)
         self._report_unwritten(_select_new_work(link.queue), link.target)
@@ -186,7 +190,9 @@
                 if (found_team, found) == (team, name):
                     return True
         self.counters.refused(Reason.TARGET_REPLACED)
-        LOG.warning('Another target answers for %s.', link.target)
+        LOG.warning(
+            'Another target answers at the address of %s.', link.target
+        )
         return False
 
     async def _write_queued(self, link, socket):
@@ -201,7 +207,7 @@
     async def _write_one(self, link, socket, action):
         match action:
             case act.SendRequest():
-                # From here on the request may have run.
+                # The target may run the request even if the write fails.
                 link.requests[action.request_id] = action
                 frame = frames.TargetRequest(
                     action.request_id,
@@ -256,7 +262,7 @@
         self.kernel.post('data', event)
 
     def _report_lost(self, link):
-        """Report what the end of a connection leaves open."""
+        """Report the requests and streams lost with a connection."""
         if self.links.get(link.target) is link:
             del self.links[link.target]
         now_ms = self.clock.now_ms()
@@ -282,6 +288,6 @@
 
 
 def _select_new_work(actions):
-    """Return the actions that begin something at a target."""
+    """Return the actions that start a request or a stream."""
     kinds = act.SendRequest | act.AttachStream
     return [one for one in actions if isinstance(one, kinds)]
