--- a/tests/features/steps/transfer_steps.py
+++ b/tests/features/steps/transfer_steps.py
@@ -213,7 +213,7 @@
 def routes_posted(listener):
     """Return the routes that a feed has posted."""
     for posted in listener.posted:
-        news = getattr(posted, 'news', None)
+        news = getattr(posted, 'update', None)
         if isinstance(news, Listing):
             return len(news.items[0].routes)
     return 0
