--- a/benches/domain_start.py
+++ b/benches/domain_start.py
@@ -208,7 +208,10 @@
         member.group_ms = self.now_ms
         share = int(member.name[1:]) / len(self.members)
         member.spread = dissemination.DisseminationState(
-            member.name, self.now_ms, share, process_ms=member.started_ms
+            member.name,
+            self.now_ms,
+            share,
+            process_started_ms=member.started_ms,
         )
         self._note(member)
         self._ask_seed(member, 0)
--- a/src/liftmount/_internal/cli/base.py
+++ b/src/liftmount/_internal/cli/base.py
@@ -13,7 +13,7 @@
 from liftmount._internal.models.addresses import parse_endpoint
 from liftmount._internal.models.problems import Problem
 from liftmount._internal.models.settings import PlatformSettings
-from liftmount._internal.store.interface import ObjectStore
+from liftmount._internal.store.interface import StoreClient
 from liftmount._internal.utils.documents import read_toml
 from liftmount._internal.utils.documents import structure
 
@@ -52,7 +52,7 @@
         raise NotImplementedError
 
 
-def open_store(options: Namespace) -> ObjectStore:
+def open_store(options: Namespace) -> StoreClient:
     """Return a client of the store named by the options.
 
     Raises ConfigurationError if no address or an invalid one is given.
--- a/src/liftmount/_internal/commands/documents.py
+++ b/src/liftmount/_internal/commands/documents.py
@@ -28,7 +28,7 @@
 from liftmount._internal.models.objects import ObjectKind
 from liftmount._internal.models.objects import Written
 from liftmount._internal.models.problems import Problem
-from liftmount._internal.store.interface import ObjectStore
+from liftmount._internal.store.interface import StoreClient
 from liftmount._internal.store.writing import write_and_resolve
 from liftmount._internal.utils.documents import read_toml
 from liftmount._internal.utils.documents import structure
@@ -142,7 +142,7 @@
         raise NotImplementedError
 
     async def check_against_store(
-        self, parsed, source: str, store: ObjectStore
+        self, parsed, source: str, store: StoreClient
     ) -> None:
         """Check a document against the stored ones.
 
--- a/src/liftmount/_internal/commands/rollout_status.py
+++ b/src/liftmount/_internal/commands/rollout_status.py
@@ -4,7 +4,7 @@
 
 from liftmount._internal.decisions.claims import in_force
 from liftmount._internal.store.instances import read_live_domains
-from liftmount._internal.store.interface import ObjectStore
+from liftmount._internal.store.interface import StoreClient
 from liftmount._internal.store.statuses import read_statuses
 
 
@@ -17,7 +17,7 @@
 
 
 async def read_rollout_status(
-    store: ObjectStore, version: int
+    store: StoreClient, version: int
 ) -> RolloutStatus:
     """Return whether every live balancer holds ``version``."""
     statuses = await read_statuses(store)
--- a/src/liftmount/_internal/decisions/dissemination.py
+++ b/src/liftmount/_internal/decisions/dissemination.py
@@ -214,7 +214,7 @@
     last received, ``confirmed_ms`` when the store last confirmed the data
     according to heartbeats, ``read_ms`` the same according to own calls, by
     feed.  ``pulled_from`` holds the peers of the pulls in progress.
-    ``process_ms`` is when the process started, some time before this state,
+    ``process_started_ms`` is when the process started, some time before this state,
     and ``stale_peer_ms`` when a heartbeat last showed that a peer's data is
     stale too, as after a common start.
     """
@@ -226,7 +226,9 @@
     order: tuple[str, ...] = ()
     remote: tuple[str, ...] = ()
     is_reader: bool = True
-    process_ms: int = Factory(lambda self: self.started_ms, takes_self=True)
+    process_started_ms: int = Factory(
+        lambda self: self.started_ms, takes_self=True
+    )
     last_received_ms: int = 0
     stale_peer_ms: int = NEVER_MS
     confirmed_ms: int = NEVER_MS
@@ -424,13 +426,13 @@
 def _request_heartbeat(state, now_ms):
     """Request a heartbeat before the store has to be read."""
     last_received_ms = max(state.last_received_ms, state.started_ms)
-    known_ms = max(state.last_confirmed_ms(), state.started_ms)
+    confirmed_ms = max(state.last_confirmed_ms(), state.started_ms)
     is_silent = (
         not state.is_root and now_ms - last_received_ms > REQUEST_AFTER_MS
     )
-    is_old = now_ms - known_ms > state.times.stale_ms - REQUEST_MARGIN_MS
+    is_old = now_ms - confirmed_ms > state.times.stale_ms - REQUEST_MARGIN_MS
     # A first list may lag; peers mostly hold fresher data.
-    is_unconfirmed = state.last_confirmed_ms() < state.process_ms
+    is_unconfirmed = state.last_confirmed_ms() < state.process_started_ms
     is_needed = is_silent or is_old or is_unconfirmed
     if not is_needed or now_ms < state.next_request_ms:
         return []
@@ -509,11 +511,11 @@
     They may lag by seconds, and a slow start uses up much of the time within
     which a change has to be in force.
     """
-    if state.last_confirmed_ms() >= state.process_ms:
+    if state.last_confirmed_ms() >= state.process_started_ms:
         return False
     if now_ms - state.stale_peer_ms <= state.times.silent_ms:
         return False
-    age_ms = now_ms - state.process_ms
+    age_ms = now_ms - state.process_started_ms
     if state.is_reader:
         # The call that confirms them is in progress.
         return age_ms > RECHECK_DEADLINE_MS
--- a/src/liftmount/_internal/decisions/flow_table.py
+++ b/src/liftmount/_internal/decisions/flow_table.py
@@ -131,8 +131,8 @@
     @property
     def is_complete(self) -> bool:
         """Tell whether routes, targets and evacuations are known."""
-        is_placing = self.has_targets and self.evacuated is not None
-        return self.table is not None and is_placing
+        can_place = self.has_targets and self.evacuated is not None
+        return self.table is not None and can_place
 
     def pool(self, service: str) -> Pool:
         """Return the pool of a service."""
--- a/src/liftmount/_internal/decisions/freshness.py
+++ b/src/liftmount/_internal/decisions/freshness.py
@@ -53,7 +53,7 @@
 
 
 @message
-class Ask(Message):
+class ReadFeed(Message):
     """A feed was not confirmed in time and has to be read itself."""
 
     feed: str
@@ -76,7 +76,7 @@
 
 
 def decide(state: FreshnessState, event) -> list:
-    """Return the Confirm and Ask actions for an event."""
+    """Return the Confirm and ReadFeed actions for an event."""
     match event:
         case Answered():
             return _on_answer(state, event)
@@ -87,7 +87,7 @@
             state.dependent = set(DEPENDENT_FEEDS)
             return []
         case Tick():
-            return _ask_unconfirmed(state, event.now_ms)
+            return _read_unconfirmed(state, event.now_ms)
     raise TypeError(f'unknown event {event!r}')
 
 
@@ -148,7 +148,7 @@
         del state.changes[revision]
 
 
-def _ask_unconfirmed(state, now_ms):
+def _read_unconfirmed(state, now_ms):
     actions = []
     for feed, since_ms in list(state.unconfirmed_since_ms.items()):
         if now_ms - since_ms < CONFIRM_TIMEOUT_MS:
@@ -156,5 +156,5 @@
         del state.unconfirmed_since_ms[feed]
         if feed in state.dependent:
             state.dependent.discard(feed)
-            actions.append(Ask(feed))
+            actions.append(ReadFeed(feed))
     return actions
--- a/src/liftmount/_internal/decisions/link_monitor.py
+++ b/src/liftmount/_internal/decisions/link_monitor.py
@@ -23,7 +23,7 @@
 BULK_BYTES = 8_192
 # So does a transfer that takes this long, since the link is not free.
 BULK_LASTS_MS = 30
-BULK_MS = 1_000
+BULK_BUSY_MS = 1_000
 
 
 @define
@@ -80,7 +80,7 @@
     ) -> None:
         """Record a transfer outside the packet path and its duration."""
         if size_bytes >= BULK_BYTES or lasted_ms >= BULK_LASTS_MS:
-            self._mark_busy(now_ms + BULK_MS, now_ms)
+            self._mark_busy(now_ms + BULK_BUSY_MS, now_ms)
 
     def _mark_busy(self, until_ms, now_ms):
         if not self.is_busy(now_ms):
--- a/src/liftmount/_internal/services/group.py
+++ b/src/liftmount/_internal/services/group.py
@@ -109,7 +109,7 @@
             self.clock.now_ms(),
             options.jitter,
             options.times,
-            process_ms=packets.path.started_ms,
+            process_started_ms=packets.path.started_ms,
         )
         self.freshness = freshness.FreshnessState()
         self._snapshot_server = SnapshotServer(
@@ -423,8 +423,8 @@
     def _execute_dissemination(self, action):
         """Execute actions of dissemination and freshness."""
         match action:
-            case dissemination.SendHeartbeat(beat, children):
-                self._send_to(encode_heartbeat(beat), children)
+            case dissemination.SendHeartbeat(heartbeat, children):
+                self._send_to(encode_heartbeat(heartbeat), children)
             case dissemination.RequestHeartbeat(peers):
                 self.counters.count('retried.beat_asked')
                 self._send_to(
@@ -445,7 +445,7 @@
                 self.packets.post(FeedUpdate(feed, delta))
                 self._record_store_answer(feed, delta)
                 self.kernel.post(feed, list_watch.Confirmed(delta.revision))
-            case freshness.Ask(feed):
+            case freshness.ReadFeed(feed):
                 self.counters.count('retried.not_confirmed')
                 self.kernel.post(feed, list_watch.RefreshRequested())
 
--- a/src/liftmount/_internal/services/platform.py
+++ b/src/liftmount/_internal/services/platform.py
@@ -42,7 +42,7 @@
 from liftmount._internal.models.objects import ObjectKind
 from liftmount._internal.models.reasons import Reason
 from liftmount._internal.models.records import Tick
-from liftmount._internal.store.interface import ObjectStore
+from liftmount._internal.store.interface import StoreClient
 from liftmount._internal.store.reader import ObjectReader
 from liftmount._internal.store.statuses import read_statuses
 from liftmount._internal.store.writing import write_and_resolve
@@ -66,7 +66,7 @@
     name = 'platform'
 
     def __init__(
-        self, kernel, settings, identity, counters, store: ObjectStore
+        self, kernel, settings, identity, counters, store: StoreClient
     ):
         super().__init__(kernel)
         self.settings = settings
--- a/src/liftmount/_internal/services/stall_reporter.py
+++ b/src/liftmount/_internal/services/stall_reporter.py
@@ -35,9 +35,9 @@
         """Process a stall, a received report or a tick."""
         for action in stall_reports.decide(self._state, event):
             match action:
-                case stall_reports.SendStallReport(doubt, peers):
+                case stall_reports.SendStallReport(report, peers):
                     self._counters.count('doubts_told', len(peers))
-                    self._send(encode_stall_report(doubt), peers)
+                    self._send(encode_stall_report(report), peers)
                 case stall_reports.EjectTarget():
                     self._log.write(
                         'targets',
--- a/src/liftmount/_internal/store/instances.py
+++ b/src/liftmount/_internal/store/instances.py
@@ -8,7 +8,7 @@
 from liftmount._internal.models.objects import InstanceEntry
 from liftmount._internal.models.objects import LIVE_STATE
 from liftmount._internal.models.objects import ObjectKind
-from liftmount._internal.store.interface import ObjectStore
+from liftmount._internal.store.interface import StoreClient
 from liftmount._internal.utils.documents import structure
 
 
@@ -19,13 +19,13 @@
     )
 
 
-async def read_instances(store: ObjectStore) -> list[InstanceEntry]:
+async def read_instances(store: StoreClient) -> list[InstanceEntry]:
     """Return all entries of the list."""
     listing = await store.list(ObjectKind.INSTANCE.value)
     return [read_instance(item) for item in listing.items]
 
 
-async def read_live_domains(store: ObjectStore) -> set[str]:
+async def read_live_domains(store: StoreClient) -> set[str]:
     """Return the failure domains that have live balancers."""
     return {
         entry.failure_domain
--- a/src/liftmount/_internal/store/interface.py
+++ b/src/liftmount/_internal/store/interface.py
@@ -7,7 +7,7 @@
 from liftmount._internal.models.feeds import StoredObject
 
 
-class ObjectStore(Protocol):
+class StoreClient(Protocol):
     """A client of a store of versioned objects, whose values are dicts.
 
     Versions come from one counter for all objects.  ``calls`` counts the
--- a/src/liftmount/_internal/store/reader.py
+++ b/src/liftmount/_internal/store/reader.py
@@ -13,7 +13,7 @@
 from liftmount._internal.models.objects import InstanceEntry
 from liftmount._internal.models.objects import ObjectKind
 from liftmount._internal.store.instances import read_instance
-from liftmount._internal.store.interface import ObjectStore
+from liftmount._internal.store.interface import StoreClient
 
 LOG = logging.getLogger('liftmount.platform')
 # Wait of a watch that only returns past changes.
@@ -31,7 +31,7 @@
     store raises PlatformError.
     """
 
-    def __init__(self, store: ObjectStore, held, on_newer):
+    def __init__(self, store: StoreClient, held, on_newer):
         self.instances: dict[str, InstanceEntry] = {}
         self._store = store
         self._held = held
--- a/src/liftmount/_internal/store/writing.py
+++ b/src/liftmount/_internal/store/writing.py
@@ -2,11 +2,11 @@
 
 from liftmount._internal.exceptions import ConflictError
 from liftmount._internal.exceptions import PlatformUnavailableError
-from liftmount._internal.store.interface import ObjectStore
+from liftmount._internal.store.interface import StoreClient
 
 
 async def write_and_resolve(
-    store: ObjectStore, key: str, value: dict, expected_version: int
+    store: StoreClient, key: str, value: dict, expected_version: int
 ) -> int:
     """Write conditionally and return the new version.
 
--- a/tests/features/steps/confirming_steps.py
+++ b/tests/features/steps/confirming_steps.py
@@ -78,7 +78,9 @@
 @then('the feeds {feeds} are asked')
 def feeds_asked(context, feeds):
     found = sorted(
-        one.feed for one in context.actions if isinstance(one, freshness.Ask)
+        one.feed
+        for one in context.actions
+        if isinstance(one, freshness.ReadFeed)
     )
     wanted = [] if feeds == 'none' else feeds.split(', ')
     assert found == wanted, found
--- a/tests/features/steps/spreading_steps.py
+++ b/tests/features/steps/spreading_steps.py
@@ -80,7 +80,7 @@
     if how.startswith('after'):
         began_ms -= int(how.split()[-2])
     context.state = dissemination.DisseminationState(
-        'me', START_MS, process_ms=began_ms
+        'me', START_MS, process_started_ms=began_ms
     )
     dissemination.decide(
         context.state, dissemination.RelayOrderChanged(('b', 'me'))
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -324,7 +324,7 @@
     Mutation(
         'confirming: what is not confirmed is not asked',
         'decisions/freshness.py',
-        '            actions.append(Ask(feed))\n',
+        '            actions.append(ReadFeed(feed))\n',
         '',
         CONFIRMING,
         'What is not confirmed in time is asked',
