--- a/src/liftmount/_internal/cli/daemon.py
+++ b/src/liftmount/_internal/cli/daemon.py
@@ -43,7 +43,7 @@
 def build_kernel(settings: Settings, clock: Clock, make_store) -> Kernel:
     """Return a kernel with all services of a balancer registered.
 
-    ``make_store(settings, local_ip)`` returns an ObjectStore.
+    ``make_store(settings, local_ip)`` returns a StoreClient.
     """
     identity = Identity(
         name=settings.instance.name,
@@ -124,7 +124,7 @@
 def main(make_store, arguments=None) -> int:
     """Run the daemon and return its exit status.
 
-    ``make_store(settings, local_ip)`` returns an ObjectStore.
+    ``make_store(settings, local_ip)`` returns a StoreClient.
     """
     parser = argparse.ArgumentParser(
         prog='liftmountd', description='Run one liftmount balancer.'
--- a/src/liftmount/_internal/cli/main.py
+++ b/src/liftmount/_internal/cli/main.py
@@ -66,7 +66,7 @@
 def main(make_store, arguments=None) -> int:
     """Run the tool and return its exit status.
 
-    ``make_store(settings, local_ip)`` returns an ObjectStore.
+    ``make_store(settings, local_ip)`` returns a StoreClient.
     """
     parser = make_parser()
     parser.set_defaults(make_store=make_store)
--- a/src/liftmount/_internal/decisions/capacity.py
+++ b/src/liftmount/_internal/decisions/capacity.py
@@ -19,8 +19,8 @@
 
 INITIAL_LIMIT = 1
 MAX_LIMIT = 1_024
-# Answers above the limit without a proof that lower the ceiling; fewer are
-# needed if it was lowered before.
+# Number of answers above the limit, none of them a proof, after which the
+# ceiling is lowered; fewer are needed if it was lowered before.
 TRIALS_TO_DISPROVE = 24
 TRIALS_TO_DISPROVE_AGAIN = 8
 # How long a ceiling holds; doubled each time until the limit rises.
--- a/src/liftmount/_internal/decisions/dissemination.py
+++ b/src/liftmount/_internal/decisions/dissemination.py
@@ -64,7 +64,7 @@
 # that the first peer has died, and each further one would slow all down.
 MAX_PULLS = 2
 
-# Before the start of any clock: the time of what was never confirmed.
+# Time of data that was never confirmed: before any time of the clock.
 NEVER_MS = -3_600_000
 
 # Reasons for which a member other than the root reads the store.
@@ -214,9 +214,9 @@
     last received, ``confirmed_ms`` when the store last confirmed the data
     according to heartbeats, ``read_ms`` the same according to own calls, by
     feed.  ``pulled_from`` holds the peers of the pulls in progress.
-    ``process_started_ms`` is when the process started, some time before this state,
-    and ``stale_peer_ms`` when a heartbeat last showed that a peer's data is
-    stale too, as after a common start.
+    ``process_started_ms`` is when the process started, ``started_ms`` when
+    this state was created.  ``stale_peer_ms`` is when a heartbeat last showed
+    that a peer's data is stale too, as after a common start.
     """
 
     name: str
@@ -393,7 +393,7 @@
 
 
 def _find_target(state, now_ms):
-    """Look for an unknown target where changes arrive first."""
+    """Pull from the root, or poll the store, to find a target."""
     if not state.is_reader and state.order:
         return _pull(state, state.order[0], now_ms, Scope.ALL)
     if now_ms < state.next_pull_ms:
--- a/src/liftmount/_internal/decisions/flow_table.py
+++ b/src/liftmount/_internal/decisions/flow_table.py
@@ -130,7 +130,7 @@
 
     @property
     def is_complete(self) -> bool:
-        """Tell whether routes, targets and evacuations are known."""
+        """Return whether routes, targets and evacuations are known."""
         can_place = self.has_targets and self.evacuated is not None
         return self.table is not None and can_place
 
@@ -203,7 +203,7 @@
 
 
 def may_open(state: ForwardingState, target: str, now_ms: int) -> bool:
-    """Tell whether a target may receive an opening again."""
+    """Return whether a target may receive an opening again."""
     load = load_of(state, target)
     if load is None or state.health.is_avoided(target):
         return False
@@ -212,7 +212,7 @@
 
 
 def may_be_finishing(state: ForwardingState, target: str, now_ms: int) -> bool:
-    """Tell whether a target may serve flows while it refuses connections.
+    """Return whether a target may serve flows while it refuses connections.
 
     A draining target stops listening before it ends, and its entry is
     removed afterwards. Without a drain notice the entry is removed first.
@@ -231,7 +231,7 @@
 
 
 def is_probe_wanted(state: ForwardingState, target: str) -> bool:
-    """Tell whether the result of a probe of a target would be used.
+    """Return whether the result of a probe of a target would be used.
 
     Targets of an evacuated domain are probed only while they hold open
     flows, which a reset would allow to reconnect elsewhere.
--- a/src/liftmount/_internal/decisions/flow_tags.py
+++ b/src/liftmount/_internal/decisions/flow_tags.py
@@ -15,7 +15,7 @@
 VARIANT_SHIFT = 31
 HASH_MASK = (1 << VARIANT_SHIFT) - 1
 WORD_MASK = 2**64 - 1
-# The finaliser of SplitMix64 (Steele, Lea and Flood, OOPSLA 2014).
+# The finalizer of SplitMix64 (Steele, Lea and Flood, OOPSLA 2014).
 MIX_1 = 0xBF58476D1CE4E5B9
 MIX_2 = 0x94D049BB133111EB
 GAMMA = 0x9E3779B97F4A7C15
--- a/src/liftmount/_internal/decisions/freshness.py
+++ b/src/liftmount/_internal/decisions/freshness.py
@@ -4,7 +4,7 @@
 revision up to that of an answer belongs to a change already received, no
 other feed has changed, and the answer confirms all of them.  So the primary
 feed is watched often, and the dependent feeds wait long for changes.  If a
-revision is missing, nothing is confirmed and the dependent feed is asked.
+revision is missing, nothing is confirmed and the dependent feed is read.
 
 This saves calls to the store while few objects change.
 """
@@ -26,7 +26,7 @@
 # Targets change most often, so they need most answers anyway.
 PRIMARY_FEED = TARGETS
 DEPENDENT_FEEDS = (ROUTES, EVACUATIONS)
-# Beyond it the revisions are dropped, and dependent feeds are asked.
+# Beyond it the revisions are dropped, and dependent feeds are read.
 MAX_TRACKED_REVISIONS = 4_096
 
 
--- a/src/liftmount/_internal/decisions/home.py
+++ b/src/liftmount/_internal/decisions/home.py
@@ -72,7 +72,7 @@
 
 
 def make_home_state(limits, failure_domain: str) -> HomeState:
-    """Return an empty state with the limits of the settings."""
+    """Return an empty state; ``limits`` are LimitSettings."""
     flows = FlowTable(limits.max_flows, limits.flow_idle_ms)
     answers = KeptAnswers(limits.answer_keep_ms, limits.answer_keep_bytes)
     return HomeState(flows, answers, failure_domain)
--- a/src/liftmount/_internal/decisions/link_monitor.py
+++ b/src/liftmount/_internal/decisions/link_monitor.py
@@ -56,7 +56,7 @@
     times_busy: int = 0
 
     def is_busy(self, now_ms: int) -> bool:
-        """Tell whether packets may queue at the link."""
+        """Return whether packets may queue at the link."""
         return now_ms < self.busy_until_ms
 
     def received(self, size_bytes: int, now_ms: int) -> None:
--- a/src/liftmount/_internal/decisions/list_watch.py
+++ b/src/liftmount/_internal/decisions/list_watch.py
@@ -20,7 +20,7 @@
 MIN_BOUND_MS = 3_000
 MAX_BOUND_MS = 15_000
 # What is left of the bound when a member with stale data begins to read the
-# store itself: covers the jitter of that and one slow call.
+# store itself: covers the jitter and one slow call.
 READ_MARGIN_MS = 1_000
 # A watch of the reader confirms the data when it ends; covers a late answer
 # (WATCH_MARGIN_MS) and heartbeats down two levels of the relay tree.
@@ -38,8 +38,9 @@
 IMMEDIATE_WAIT_MS = 1
 # Keeps calls apart on a slow link, however long the last answer took.
 MIN_WATCH_MS = 500
-# A watch from an old revision returns each version since.  Where each version
-# holds everything, a list up to this size takes less time.
+# A watch from an old revision returns each version since then.  For a feed of
+# one object each version has the whole contents, and a list up to this size
+# takes less time.
 SHORT_LIST_BYTES = 32_768
 # Wait of a watch whose feed is confirmed by answers about another one; the
 # store keeps its history for longer.
@@ -285,8 +286,8 @@
     state.is_paused = True
     state.is_dependent = False
     if _is_first_list_pending(state):
-        # Those that read the store may have no data yet, and what has been
-        # received of the list would be lost.
+        # Those members that read the store may have no data yet, and the part
+        # of the list that was received would be lost.
         return []
     state.is_calling = False
     return [Cancel()]
@@ -433,6 +434,6 @@
     reports = [DependencyLost(cause)] if state.failures == 1 else []
     if state.must_list:
         return [*reports, List(pause_ms, may_lag=state.revision is None)]
-    # An answer at once confirms the data; otherwise it would become stale and
-    # other members would read the store themselves.
+    # A call that is answered at once confirms the data; otherwise it would
+    # become stale, and other members would read the store themselves.
     return [*reports, _catch_up(state, pause_ms)]
--- a/src/liftmount/_internal/decisions/overflow.py
+++ b/src/liftmount/_internal/decisions/overflow.py
@@ -147,6 +147,6 @@
 
 
 def _is_overloaded(load):
-    """Tell whether a service lacks local slots that others have."""
+    """Return whether a service lacks local slots that others have."""
     is_loaded = load.demand_slots > MAX_LOAD_SHARE * load.local_slots
     return is_loaded and load.remote_slots > load.local_slots
--- a/src/liftmount/_internal/decisions/pool.py
+++ b/src/liftmount/_internal/decisions/pool.py
@@ -54,7 +54,7 @@
     """A target as described by configuration and instance list.
 
     ``slots`` is the number of requests that it says it processes at once;
-    0 means that the limit has to be learnt. ``warm_up_ms`` is the remaining
+    0 means that the limit has to be learned. ``warm_up_ms`` is the remaining
     warm-up time. A target with ``last_choice`` gets work only if there is
     no other.
     """
@@ -127,8 +127,8 @@
     failure domain loses; ``fade_ms`` is the decay time of busy shares.
     ``busy`` and ``in_progress`` are totals over all targets. Targets in the
     failure domains ``closed`` get no new work. ``cold`` limits new flows to
-    cold targets, those that warm up; None means no limit. ``panics`` counts
-    how often ejections were ignored.
+    targets in slow start; None means no limit. ``panics`` counts how often
+    ejections were ignored.
     """
 
     key: str
@@ -253,12 +253,12 @@
         return self._usable
 
     def may_take(self, target: TargetLoad) -> bool:
-        """Tell whether a target may get new work, regardless of its health."""
+        """Return whether a target may get new work, health aside."""
         is_closed = target.failure_domain in self.closed
         return not (target.leaving or is_closed)
 
     def may_open(self, target: TargetLoad, now_ms: int) -> bool:
-        """Tell whether a target may receive the opening of a flow now."""
+        """Return whether a target may receive the opening of a flow now."""
         if not self.may_take(target):
             return False
         if self.cold is None or now_ms >= target.warm_until_ms:
@@ -376,7 +376,7 @@
 
     @staticmethod
     def _prior_limit(targets):
-        """Return the upper quartile of the targets' learnt limits."""
+        """Return the upper quartile of the targets' learned limits."""
         limits = sorted(target.capacity.limit for target in targets)
         return limits[len(limits) * 3 // 4] if limits else INITIAL_LIMIT
 
@@ -537,7 +537,7 @@
 
 
 def _may_try(target, prior, now_ms) -> bool:
-    """Tell whether a target may get one request above its limit."""
+    """Return whether a target may get one request above its limit."""
     level = target.capacity.usable_limit(prior) + 1
     if target.in_progress + 1 != level:
         return False
--- a/src/liftmount/_internal/decisions/relay.py
+++ b/src/liftmount/_internal/decisions/relay.py
@@ -1,7 +1,7 @@
 """The relay tree of a failure domain.
 
 The root is the member that should hold the domain's lease.  Only the root
-reads the platform; other members get changes from their parent.  Each member
+reads the store; other members get changes from their parent.  Each member
 derives the tree from the membership, without an agreement.
 """
 
--- a/src/liftmount/_internal/decisions/rollout.py
+++ b/src/liftmount/_internal/decisions/rollout.py
@@ -283,6 +283,7 @@
 
 
 def _group_targets(resolved):
+    """Set the pools, domains and locations from the team's targets."""
     for target in resolved.team.targets:
         key = f'{resolved.team.name}/{target.pool}'
         resolved.pools.setdefault(key, []).append(target)
@@ -293,6 +294,11 @@
 
 
 def _add_service(view, resolved, service, claims):
+    """Add a service to the view, in force only if it holds its address.
+
+    That is the case if the claim of the address (see :mod:`claims`) is held
+    by the service.
+    """
     address = service.address
     view.wanted.setdefault(address, []).append(service)
     claim = claims.get(service.address_text)
--- a/src/liftmount/_internal/decisions/shutdown.py
+++ b/src/liftmount/_internal/decisions/shutdown.py
@@ -1,4 +1,4 @@
-"""Planned shutdown of a balancer: when its process may end.
+"""Graceful shutdown of a balancer: when its process may end.
 
 The balancer reports that it is not ready and forwards packets until the
 fabric has stopped sending to it.  It then ends without delay, so that its
@@ -17,7 +17,7 @@
 
 @define
 class ShutdownState:
-    """A planned shutdown, which ends at ``until_ms`` at the latest.
+    """A graceful shutdown, which ends at ``until_ms`` at the latest.
 
     ``refusals`` counts readiness checks answered with not ready.
     """
--- a/src/liftmount/_internal/decisions/slow_start.py
+++ b/src/liftmount/_internal/decisions/slow_start.py
@@ -57,7 +57,7 @@
         self.since_ms.setdefault(target, now_ms)
 
     def may_take(self, target: str, now_ms: int) -> bool:
-        """Tell whether a target in slow start may get a flow now."""
+        """Return whether a target in slow start may get a flow now."""
         if not self.fleet.balancers:
             return False
         gap_ms = self._gap_ms()
--- a/src/liftmount/_internal/decisions/target_health.py
+++ b/src/liftmount/_internal/decisions/target_health.py
@@ -190,15 +190,15 @@
     is_link_busy: bool = False
 
     def is_dead(self, target: str) -> bool:
-        """Tell whether a target is considered dead."""
+        """Return whether a target is considered dead."""
         return target in self.dead
 
     def is_avoided(self, target: str) -> bool:
-        """Tell whether new flows should avoid a target."""
+        """Return whether new flows should avoid a target."""
         return target in self.dead or target in self.suspected
 
     def is_proven_dead(self, target: str, now_ms: int) -> bool:
-        """Tell whether a target is dead by a recent proof."""
+        """Return whether a target is dead by a recent proof."""
         if target not in self.dead:
             return False
         return now_ms - self.targets[target].last_proof_ms <= PROOF_VALID_MS
@@ -368,7 +368,7 @@
 
 
 def _is_due(health, is_link_busy, now_ms):
-    """Tell whether another probe of an unhealthy target is due."""
+    """Return whether another probe of an unhealthy target is due."""
     if health.condition is not Condition.PROBED:
         return not health.in_flight and now_ms >= health.next_probe_ms
     if is_link_busy and health.in_flight:
--- a/src/liftmount/_internal/models/entry_settings.py
+++ b/src/liftmount/_internal/models/entry_settings.py
@@ -15,12 +15,12 @@
     ``metrics`` are HTTP addresses.  ``peer`` is for traffic with other
     balancers, over UDP and TCP; ``seeds`` are the peer addresses of some of
     them.  State of flows older than ``flow_max_age_ms`` may be dropped.
-    ``stop_ms`` limits a planned stop.  A change of routes or targets must
-    be in force within ``change_bound_ms`` of its write to the store.
+    ``stop_ms`` limits a graceful shutdown.  A change of routes or targets
+    must be in force within ``change_bound_ms`` of its write to the store.
     ``regions`` maps failure domains to their regions.
     ``link_megabits_per_s`` is the capacity of this balancer's link in each
     direction, 0 if unknown.  With ``reports_stalls`` the balancer reports
-    unresponsive targets to its peers.
+    stalled targets to its peers.
     """
 
     name: str
--- a/src/liftmount/_internal/models/members.py
+++ b/src/liftmount/_internal/models/members.py
@@ -27,7 +27,7 @@
 
     ``incarnation`` identifies the process, ``version`` counts the changes
     that the process made to its record.  ``has_platform`` is true if it
-    reaches the platform, ``leaving`` during a planned shutdown.
+    reaches the platform, ``leaving`` during a graceful shutdown.
     """
 
     name: str
--- a/src/liftmount/_internal/models/messages.py
+++ b/src/liftmount/_internal/models/messages.py
@@ -93,12 +93,12 @@
 
 @frozen
 class ShutdownStarted:
-    """A planned stop of this balancer has begun."""
+    """A graceful shutdown of this balancer has begun."""
 
 
 @frozen
 class ShutdownCancelled:
-    """The operator cancelled the planned stop."""
+    """The operator cancelled the graceful shutdown."""
 
 
 @frozen
--- a/src/liftmount/_internal/models/peer_messages.py
+++ b/src/liftmount/_internal/models/peer_messages.py
@@ -106,7 +106,7 @@
     try:
         _mark, sender = cbor2.loads(datagram)
     except Exception as error:
-        # The library raises whatever the bytes make it stumble over.
+        # cbor2 raises exceptions of many types on malformed input.
         raise PacketError(f'malformed heartbeat request: {error}') from error
     if type(sender) is not str:
         raise PacketError('sender of a heartbeat request is not a string')
@@ -139,7 +139,7 @@
         waited_ms, age_ms, number = (max(0, int(one)) for one in numbers)
         return StallReport(str(target), str(source), waited_ms, age_ms, number)
     except Exception as error:
-        # The library raises whatever the bytes make it stumble over.
+        # cbor2 raises exceptions of many types on malformed input.
         raise PacketError(f'malformed stall report: {error}') from error
 
 
@@ -163,7 +163,7 @@
             evacuated=_decode_evacuated(evacuated),
         )
     except Exception as error:
-        # The library raises whatever the bytes make it stumble over.
+        # cbor2 raises exceptions of many types on malformed input.
         raise PacketError(f'malformed heartbeat: {error}') from error
 
 
@@ -201,7 +201,7 @@
             evacuated=_decode_evacuated(evacuated),
         )
     except Exception as error:
-        # The libraries raise whatever the bytes make them stumble over.
+        # zlib and cbor2 raise exceptions of many types.
         raise PacketError(f'malformed snapshot: {error}') from error
 
 
@@ -215,7 +215,7 @@
     try:
         return parse_member(cbor2.loads(data))
     except Exception as error:
-        # The library raises whatever the bytes make it stumble over.
+        # cbor2 raises exceptions of many types on malformed input.
         raise PacketError(f'malformed member: {error}') from error
 
 
@@ -231,7 +231,7 @@
         records = cbor2.loads(unpacker.decompress(data, MAX_SNAPSHOT_BYTES))
         return [parse_member(one) for one in records]
     except Exception as error:
-        # The libraries raise whatever the bytes make them stumble over.
+        # zlib and cbor2 raise exceptions of many types.
         raise PacketError(f'malformed list of members: {error}') from error
 
 
--- a/src/liftmount/_internal/models/segments.py
+++ b/src/liftmount/_internal/models/segments.py
@@ -120,6 +120,6 @@
     started_wall_ms: int = 0
 
     def is_other_start(self, other) -> bool:
-        """Tell whether a restart happened between two entries of a name."""
+        """Return whether a target restarted between two of its entries."""
         starts = {self.started_wall_ms, other.started_wall_ms}
         return len(starts) == 2 and 0 not in starts
--- a/src/liftmount/_internal/network/http.py
+++ b/src/liftmount/_internal/network/http.py
@@ -33,7 +33,7 @@
 
 
 def watch_for_dead_peer(raw: socket.socket) -> None:
-    """Enable keepalives and timeouts that detect an unreachable peer."""
+    """Set TCP_NODELAY, and timeouts that detect an unreachable peer."""
     raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, DEAD_PEER_MS)
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
@@ -157,7 +157,7 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether the connection is established."""
+        """Return whether the connection is established."""
         return self._writer is not None
 
     def close(self) -> None:
@@ -171,8 +171,8 @@
         self._writer.write(request)
         message = HttpMessage()
         parser = HttpResponseParser(message)
-        note = timeout.extend
-        if not await _read_message(self._reader, parser, message, note):
+        on_progress = timeout.extend
+        if not await _read_message(self._reader, parser, message, on_progress):
             raise ConnectionResetError('closed before an answer')
         if not parser.should_keep_alive():
             self.close()
--- a/src/liftmount/_internal/services/control.py
+++ b/src/liftmount/_internal/services/control.py
@@ -1,4 +1,4 @@
-"""Control connections between balancers, and inspection by the tool.
+"""Control connections to other balancers and to the command-line tool.
 
 Configuration changes are relayed down the relay tree of the failure
 domain, from parent to children.  Reports of the configuration that each
--- a/src/liftmount/_internal/services/data.py
+++ b/src/liftmount/_internal/services/data.py
@@ -124,7 +124,7 @@
         self._next_planning_ms = now_ms + REBIND_PLANNING_MS
 
     def has_finished(self) -> bool:
-        """Return whether a planned stop would interrupt nothing now.
+        """Return whether a graceful shutdown would interrupt nothing now.
 
         No request may be pending.  Remaining flows do not count after
         three planning rounds, once no packet has arrived for
--- a/src/liftmount/_internal/services/entry.py
+++ b/src/liftmount/_internal/services/entry.py
@@ -70,7 +70,7 @@
         self.group = None
 
     async def run(self) -> None:
-        """Serve until a planned stop is complete."""
+        """Serve until a graceful shutdown is complete."""
         self._register_services()
         self.log.write('process', 'event_loop')
         stopping = asyncio.Event()
--- a/src/liftmount/_internal/services/group.py
+++ b/src/liftmount/_internal/services/group.py
@@ -327,7 +327,7 @@
         self.members.seeds = tuple(one for one in seeds if one != own)
 
     def announce_leaving(self):
-        """Announce to the other members that a planned stop has begun."""
+        """Announce to the other members that a shutdown has begun."""
         self._announce(leaving=True)
 
     def say_farewell(self):
@@ -481,7 +481,7 @@
             - self.dissemination.last_confirmed_ms(),
         )
         # Use the revisions that the packet path has applied, not those still
-        # queued: a watch that starts too late would miss changes.
+        # queued: a watch from too high a revision would miss changes.
         revisions = {
             TARGETS: self.store_cache.directory.revision,
             ROUTES: self.store_cache.routes_revision,
--- a/src/liftmount/_internal/services/packet_path.py
+++ b/src/liftmount/_internal/services/packet_path.py
@@ -67,7 +67,7 @@
     ``encode_reset(action)``; ``options`` are EntrySettings.
     ``pending_probes`` holds a SendProbe for each probe that the owner has to
     start.
-    ``shutdown`` is a ShutdownState once a planned stop has begun.
+    ``shutdown`` is a ShutdownState once a graceful shutdown has begun.
     """
 
     def __init__(self, clock: Clock, codec, options, log, counters, bound):
@@ -102,7 +102,7 @@
     def get_unready_reason(self) -> str:
         """Return why this balancer is not ready, or '' if it is.
 
-        Each call during a planned stop counts as one refused check.
+        Each call during a graceful shutdown counts as one refused check.
         """
         if self.shutdown is not None:
             self.shutdown.record_refusal()
@@ -123,7 +123,7 @@
         self.state.fleet.balancers = members.fleet
 
     def begin_shutdown(self, until_ms: int) -> None:
-        """Begin a planned stop that ends at ``until_ms`` at the latest."""
+        """Begin a graceful shutdown, which ends by ``until_ms``."""
         # Not needed at startup, so imported here.
         from liftmount._internal.decisions.shutdown import ShutdownState
 
--- a/src/liftmount/_internal/services/probes.py
+++ b/src/liftmount/_internal/services/probes.py
@@ -7,7 +7,7 @@
 from liftmount._internal.exceptions import HttpError
 from liftmount._internal.network.http import HttpConnection
 
-# A slow target accepts the connection in this time, which is enough.
+# A slow target accepts the connection by then, which counts as an answer.
 PROBE_TIMEOUT_MS = 100
 WAIT_STEP_MS = 25
 # Turns of the event loop after the timeout, so that an answer which arrived
--- a/src/liftmount/_internal/services/targets.py
+++ b/src/liftmount/_internal/services/targets.py
@@ -161,8 +161,8 @@
             if not self._verify_identity(link, hello):
                 return
             link.is_open = True
-            met = TargetConnected(link.target, hello.incarnation)
-            self.kernel.post('data', met)
+            connected = TargetConnected(link.target, hello.incarnation)
+            self.kernel.post('data', connected)
             if hello.is_draining:
                 self._reject_queued(link)
             await self._exchange_frames(link, socket)
--- a/src/liftmount/_internal/store/reader.py
+++ b/src/liftmount/_internal/store/reader.py
@@ -40,7 +40,7 @@
         self._instance_revision = None
 
     def may_watch(self, kind: str) -> bool:
-        """Whether a kind was listed and can be watched from there."""
+        """Return whether a kind was listed and can be watched from there."""
         return kind in self._revisions
 
     async def list_all(self) -> None:
--- a/src/liftmount/platform/__init__.py
+++ b/src/liftmount/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The adapter to the users' platform: translation only, no decisions.
+"""The adapter to the platform: translation only, no decisions.
 
 - ``packet_headers`` reads and writes the headers of packets.
 - ``store`` is the client of the platform's store, ``documents`` reads its
--- a/src/liftmount/platform/store.py
+++ b/src/liftmount/platform/store.py
@@ -47,7 +47,7 @@
 class PlatformStore:
     """Client that calls the first address of the store that responds.
 
-    Implements ``_internal.store.interface.ObjectStore``.  ``count()`` is
+    Implements ``_internal.store.interface.StoreClient``.  ``count()`` is
     called for each HTTP request.  Concurrent calls use separate connections,
     which are kept for later calls.  ``report(error)`` is called for items of
     lists and watches without a valid name.
