--- a/tests/features/decisions/beliefs.feature
+++ b/tests/features/decisions/beliefs.feature
@@ -78,8 +78,8 @@
       | known 10 9000, paused, resumed                      | exact list at once          |
 
   Scenario Outline: What a newcomer read first is proven in time, however slow its start
-    When a process is <age> ms old as its first list is there
-    Then it proves the list <wait> ms later
+    When a process is <age> ms old when its first list is complete
+    Then it confirms the list <wait> ms later
 
     Examples:
       | age  | wait |
@@ -104,8 +104,8 @@
 
   Scenario Outline: Only what a target can't do while it serves proves its end
     Given a target that <leaving>
-    When its probes are <result>, <after> ms after it was told
-    Then by its probes it is <belief>
+    When its probes are <result>, <after> ms after the update
+    Then after the probes it is <belief>
 
     Examples:
       | leaving                  | result   | after | belief    |
@@ -124,8 +124,8 @@
       | is gone without a word   | silent   | 4000  | dead      |
 
   Scenario Outline: A start that was heard of is not taken back by what is told late
-    When a target of start 5 is told at revision 20, and of start <start> at revision <revision>
-    Then start <believed> is believed
+    When a target of start 5 is received at revision 20, and of start <start> at revision <revision>
+    Then start <believed> is kept
 
     Examples:
       | start | revision | believed |
--- a/tests/features/decisions/stalls.feature
+++ b/tests/features/decisions/stalls.feature
@@ -79,19 +79,19 @@
       | 60      | 40   |
 
   Scenario: Seven of sixty targets hang before 96 balancers
-    Given 96 balancers before 60 targets, of which 7 hang for 6800 ms
+    Given 96 balancers in front of 60 targets, of which 7 hang for 6800 ms
     When 400 flows a second open, and each knows what it saw itself
     And the same flows open, and members tell each other what they saw
     Then at most a seventh of the flows is lost
 
   Scenario: What hanging targets cost hardly grows with the balancers
-    Given 384 balancers before 60 targets, of which 7 hang for 6800 ms
+    Given 384 balancers in front of 60 targets, of which 7 hang for 6800 ms
     When 400 flows a second open, and each knows what it saw itself
     And the same flows open, and members tell each other what they saw
     Then at most half of the flows is lost
 
   Scenario: A whole service turns slow
-    Given 96 balancers before 60 targets, of which 60 hang for 3000 ms
+    Given 96 balancers in front of 60 targets, of which 60 hang for 3000 ms
     When the same flows open, and members tell each other what they saw
     Then each balancer still uses at least 20 targets
 
--- a/tests/features/steps/domain_start_steps.py
+++ b/tests/features/steps/domain_start_steps.py
@@ -10,7 +10,7 @@
 from liftmount._internal.models.records import evolve
 
 RUN_MS = 15_000
-TROUBLES = {
+FAULTS = {
     'is slow': 'slow',
     'turns a third away': 'turns a third away',
     'stops halfway': 'stops halfway',
@@ -34,11 +34,11 @@
     context.start.run(RUN_MS)
 
 
-@when('all start at once, and the store {trouble} for {interval:d} s')
-def all_start_in_trouble(context, trouble, interval):
+@when('all start at once, and the store {fault} for {interval:d} s')
+def all_start_with_fault(context, fault, interval):
     context.case = evolve(
         context.case,
-        trouble=TROUBLES[trouble],
+        trouble=FAULTS[fault],
         trouble_ms=1_000 * interval,
     )
     all_start(context)
--- a/tests/features/steps/evacuations_steps.py
+++ b/tests/features/steps/evacuations_steps.py
@@ -13,7 +13,7 @@
 from liftmount._internal.models.feeds import Delta
 from liftmount._internal.models.feeds import Evacuated
 from liftmount._internal.models.feeds import Listing
-from tests.features.steps.forwarding_steps import judge
+from tests.features.steps.forwarding_steps import report_health
 
 GUIDE = '198.51.0.1:8443'
 AVOIDED_MS = 5_000
@@ -106,7 +106,7 @@
     for entry in context.entries.values():
         is_meant = entry.failure_domain in domains.split(', ')
         if is_meant and entry.service == service:
-            judge(context.balancer, entry.name)
+            report_health(context.balancer, entry.name)
 
 
 @when('the entry of {name} is written anew')
--- a/tests/features/steps/exploration_steps.py
+++ b/tests/features/steps/exploration_steps.py
@@ -32,7 +32,7 @@
 
 
 @define
-class World:
+class System:
     """Two homes, what is under way, what ran, and what callers know.
 
     ``packets`` are (kind, caller); each caller's token names the home and
@@ -96,9 +96,9 @@
     return state
 
 
-def first_world():
+def first_system():
     nonces = {caller: n for n, caller in enumerate(CALLERS, 1)}
-    return World(
+    return System(
         states={'b1': make_home(nonces), 'b2': make_home({})},
         incarnations=dict.fromkeys(HOMES, 1),
         tokens={caller: ('b1', 1, n) for caller, n in nonces.items()},
@@ -106,30 +106,30 @@
     )
 
 
-def feed(world, home, event):
+def feed(system, home, event):
     """Let a home decide, and put its actions into the world."""
-    state = world.states[home]
+    state = system.states[home]
     for action in requests.decide(state, event):
         match action:
             case act.SendRequest():
                 pending = state.pending[action.request_id]
                 caller = f'c{pending.caller.port}'
-                sent = (home, world.incarnations[home], action.request_id)
-                world.at_target.append((*sent, caller))
+                sent = (home, system.incarnations[home], action.request_id)
+                system.at_target.append((*sent, caller))
             case act.Reply():
                 caller = f'c{action.caller.port}'
                 verdict = action.outcome.verdict.value
-                world.verdicts.setdefault(caller, set()).add(verdict)
+                system.verdicts.setdefault(caller, set()).add(verdict)
 
 
-def deliver(world, packet):
+def deliver(system, packet):
     """Bring a packet to the home that its token names, or refuse it."""
     kind, caller = packet
-    world.packets.remove(packet)
-    home, incarnation, nonce = world.tokens[caller]
-    if world.incarnations[home] != incarnation:
+    system.packets.remove(packet)
+    home, incarnation, nonce = system.tokens[caller]
+    if system.incarnations[home] != incarnation:
         # The caller learns that its home is gone; its request is in doubt.
-        world.verdicts.setdefault(caller, set()).add('may_have_run')
+        system.verdicts.setdefault(caller, set()).add('may_have_run')
         return
     if kind == 'cancel':
         event = events.CancelArrived(nonce, 1, NOW_MS)
@@ -137,16 +137,16 @@
         event = events.RequestArrived(
             nonce, caller_address(caller), 1, 0, b'', NOW_MS
         )
-    feed(world, home, event)
+    feed(system, home, event)
 
 
-def end_at_target(world, item, how):
+def end_at_target(system, item, how):
     """Let a target answer, refuse or lose one request."""
-    world.at_target.remove(item)
+    system.at_target.remove(item)
     home, incarnation, request_id, caller = item
     if how in ('ran', 'ran, answer lost'):
-        world.runs[caller] += 1
-    if world.incarnations[home] != incarnation:
+        system.runs[caller] += 1
+    if system.incarnations[home] != incarnation:
         return
     if how == 'ran':
         event = events.TargetAnswered(request_id, b'', NOW_MS)
@@ -154,51 +154,51 @@
         event = events.TargetRefused(request_id, 0, False, NOW_MS)
     else:
         event = events.RequestLost(request_id, True, NOW_MS)
-    feed(world, home, event)
+    feed(system, home, event)
 
 
-def restart(world):
-    world.restarts -= 1
-    world.incarnations['b1'] += 1
-    world.states['b1'] = make_home({})
+def restart(system):
+    system.restarts -= 1
+    system.incarnations['b1'] += 1
+    system.states['b1'] = make_home({})
 
 
-def add_copy(world, packet):
-    world.copies -= 1
-    world.packets.append(packet)
+def add_copy(system, packet):
+    system.copies -= 1
+    system.packets.append(packet)
 
 
-def add_cancel(world):
-    world.cancels -= 1
-    world.packets.append(('cancel', 'c1'))
+def add_cancel(system):
+    system.cancels -= 1
+    system.packets.append(('cancel', 'c1'))
 
 
-def steps(world):
+def steps(system):
     """Return every step that may come next."""
     found = []
-    for packet in sorted(set(world.packets)):
+    for packet in sorted(set(system.packets)):
         found.append((deliver, packet))
-        if world.copies:
+        if system.copies:
             found.append((add_copy, packet))
-    for item in sorted(set(world.at_target)):
+    for item in sorted(set(system.at_target)):
         for how in ('ran', 'ran, answer lost', 'refused', 'lost'):
             found.append((end_at_target, item, how))
-    if world.restarts:
+    if system.restarts:
         found.append((restart,))
-    if world.cancels:
+    if system.cancels:
         found.append((add_cancel,))
     return found
 
 
-def check_world(world):
+def check_system(system):
     for caller in CALLERS:
-        verdicts = world.verdicts.get(caller, set())
-        assert world.runs[caller] <= 1, world
+        verdicts = system.verdicts.get(caller, set())
+        assert system.runs[caller] <= 1, system
         if 'not_run' in verdicts:
-            assert world.runs[caller] == 0, world
-            assert 'ran' not in verdicts, world
+            assert system.runs[caller] == 0, system
+            assert 'ran' not in verdicts, system
         if 'ran' in verdicts:
-            assert world.runs[caller] == 1, world
+            assert system.runs[caller] == 1, system
 
 
 def explore(first, find_steps, check):
@@ -206,10 +206,10 @@
     seen = {first.key()}
     waiting = [first]
     while waiting:
-        world = waiting.pop()
-        check(world)
-        for call, *arguments in find_steps(world):
-            following = deepcopy(world)
+        system = waiting.pop()
+        check(system)
+        for call, *arguments in find_steps(system):
+            following = deepcopy(system)
             call(following, *arguments)
             key = following.key()
             if key not in seen:
@@ -220,7 +220,7 @@
 
 @when('every interleaving of requests is explored')
 def explore_requests(context):
-    context.states = explore(first_world(), steps, check_world)
+    context.states = explore(first_system(), steps, check_system)
 
 
 @then(
@@ -237,7 +237,7 @@
 BALANCERS = ('lm-1', 'lm-2')
 
 
-def written(document):
+def make_stored(document):
     return {
         'document': document,
         'writer': 'w',
@@ -246,14 +246,14 @@
     }
 
 
-def team(name, version, holds):
+def team(name, version, has_address):
     document = {
         'name': name,
         'template': 'firm',
-        'addresses': {'guidance': ADDRESS} if holds else {},
+        'addresses': {'guidance': ADDRESS} if has_address else {},
         'caller_prefixes': ['10.0.0.0/8'],
     }
-    return StoredObject(f'team/{name}', version, written(document))
+    return StoredObject(f'team/{name}', version, make_stored(document))
 
 
 @define
@@ -265,13 +265,13 @@
     """
 
     log: list
-    held: dict
+    received: dict
     reported: dict
 
     def key(self):
         """Return what tells this world from others."""
-        held = tuple(tuple(sorted(one)) for one in self.held.values())
-        return (len(self.log), held, tuple(self.reported.values()))
+        received = tuple(tuple(sorted(one)) for one in self.received.values())
+        return (len(self.log), received, tuple(self.reported.values()))
 
 
 def first_move():
@@ -284,7 +284,7 @@
         'state': 'held',
     }
     before = [
-        StoredObject('template/firm', 1, written(template)),
+        StoredObject('template/firm', 1, make_stored(template)),
         team('firm-a', 2, True),
         team('firm-b', 3, False),
         StoredObject(f'claim/{ADDRESS}', 4, claim),
@@ -293,45 +293,45 @@
     everything = frozenset(range(len(before)))
     return Move(
         log=log,
-        held=dict.fromkeys(BALANCERS, everything),
+        received=dict.fromkeys(BALANCERS, everything),
         reported=dict.fromkeys(BALANCERS, 4),
     )
 
 
-def store_of(world, indexes):
+def store_of(system, indexes):
     store = ObjectStore()
     for index in sorted(indexes):
-        store.apply(world.log[index])
+        store.apply(system.log[index])
     return store
 
 
-def served_by(world, name):
-    view = ViewBuilder().build(store_of(world, world.held[name]))
+def served_by(system, name):
+    view = ViewBuilder().build(store_of(system, system.received[name]))
     return {service.team for service in view.services.values()}
 
 
-def give(world, name, index):
-    world.held[name] = world.held[name] | {index}
+def deliver_object(system, name, index):
+    system.received[name] = system.received[name] | {index}
 
 
-def report(world, name):
+def report(system, name):
     """Report the highest version up to which nothing is missing."""
     index = 0
-    while index in world.held[name]:
+    while index in system.received[name]:
         index += 1
-    world.reported[name] = world.log[index - 1].version
+    system.reported[name] = system.log[index - 1].version
 
 
-def lead(world):
+def write_claims(system):
     """Let a lease holder that holds all write the claims."""
-    store = store_of(world, range(len(world.log)))
+    store = store_of(system, range(len(system.log)))
     view = ViewBuilder().build(store)
     key = f'claim/{ADDRESS}'
     claim: Claim = store.valid[key]
     known = {ADDRESS: (store.objects[key].version, claim)}
     statuses = [
         DomainStatus(name, name, 1, revision)
-        for name, revision in world.reported.items()
+        for name, revision in system.reported.items()
     ]
     for step in claims.decide(view, known, statuses, set(BALANCERS)):
         if isinstance(step, claims.WriteClaim):
@@ -341,25 +341,25 @@
                 'generation': step.claim.generation,
                 'state': step.claim.state,
             }
-            version = world.log[-1].version + 1
-            world.log.append(StoredObject(key, version, value))
+            version = system.log[-1].version + 1
+            system.log.append(StoredObject(key, version, value))
 
 
-def move_steps(world):
-    found = [(lead,)]
+def move_steps(system):
+    found = [(write_claims,)]
     for name in BALANCERS:
         found.append((report, name))
-        for index in range(len(world.log)):
-            if index not in world.held[name]:
-                found.append((give, name, index))
+        for index in range(len(system.log)):
+            if index not in system.received[name]:
+                found.append((deliver_object, name, index))
     return found
 
 
-def check_move(world):
+def check_move(system):
     served = set()
     for name in BALANCERS:
-        served |= served_by(world, name)
-    assert len(served) <= 1, (served, world.held)
+        served |= served_by(system, name)
+    assert len(served) <= 1, (served, system.received)
 
 
 @when('every interleaving of the move is explored')
--- a/tests/features/steps/forwarding_steps.py
+++ b/tests/features/steps/forwarding_steps.py
@@ -37,7 +37,7 @@
 FLOW_MAX_AGE_MS = 60_000
 CLIENT_DATA_BYTES = 100
 UNKNOWN_NUMBER = 99
-FORMER_LEFT_MS = 30_000
+RETIRED_FOR_MS = 30_000
 
 
 def make_entry(name, service, domain='a', number=None, draining=False):
@@ -106,7 +106,7 @@
         """Return the flow of a client."""
         return self.state.flows[self.segments[client].flow]
 
-    def of(self, kind):
+    def actions_of(self, kind):
         """Return all actions of a kind."""
         return [one for one in self.actions if isinstance(one, kind)]
 
@@ -114,7 +114,7 @@
         """Return where the opening of a client went."""
         return [
             one.target.name
-            for one in self.of(flows.Forward)
+            for one in self.actions_of(flows.Forward)
             if one.segment.client.port == client and one.segment.opens
         ]
 
@@ -188,7 +188,7 @@
 
 
 @given('a balancer in domain a that knows nothing yet')
-def balancer_without_knowledge(context):
+def empty_balancer(context):
     context.balancer = make_balancer('a')
 
 
@@ -228,7 +228,7 @@
 
 
 @when('the balancer stands still for {interval:d} ms')
-def stand_still(context, interval):
+def balancer_paused(context, interval):
     context.balancer.now_ms += interval
     context.balancer.feed(Tick(context.balancer.now_ms))
 
@@ -279,7 +279,7 @@
 
 
 @then('it is held, and targets are asked for')
-def held(context):
+def segment_pending(context):
     balancer = context.balancer
     assert not forwards(balancer.last)
     assert len(balancer.state.pending) == 1
@@ -296,24 +296,24 @@
 
 @then('it was dropped: {reason}')
 def was_dropped(context, reason):
-    (found,) = context.balancer.of(flows.Drop)
+    (found,) = context.balancer.actions_of(flows.Drop)
     assert found.reason.value == reason, found
 
 
 @then('no reset was sent')
 def no_reset(context):
-    assert not context.balancer.of(flows.Refuse)
+    assert not context.balancer.actions_of(flows.Refuse)
 
 
 @then('{count:d} resets were sent')
 def resets_sent(context, count):
-    found = context.balancer.of(flows.Refuse)
+    found = context.balancer.actions_of(flows.Refuse)
     assert len(found) == count, found
 
 
 @then('{count:d} silences were reported')
-def silences_reported(context, count):
-    found = context.balancer.of(TargetUnresponsive)
+def unresponsive_reported(context, count):
+    found = context.balancer.actions_of(TargetUnresponsive)
     assert len(found) == count, found
 
 
@@ -336,7 +336,7 @@
 
 
 @then('each target of guide in domain a has at least {least:d} of the flows')
-def spread(context, least):
+def each_has_flows(context, least):
     for target in ('near-1', 'near-2'):
         assert count_at(context, target) >= least, target
 
@@ -413,14 +413,14 @@
 
 @then('the flow of client {client:d} was reset: {reason}')
 def flow_reset(context, client, reason):
-    (found,) = context.balancer.of(flows.Refuse)
+    (found,) = context.balancer.actions_of(flows.Refuse)
     assert found.client.port == client, found
     assert found.reason.value == reason, found
 
 
 @then("the reset carries the client's last acknowledgement")
 def reset_fits(context):
-    (found,) = context.balancer.of(flows.Refuse)
+    (found,) = context.balancer.actions_of(flows.Refuse)
     assert found.sequence == context.balancer.segments[1].acknowledgement
 
 
@@ -441,17 +441,17 @@
 
 
 @step('the target of client 1 is gone from the list')
-def target_gone(context):
+def target_removed(context):
     balancer = context.balancer
     name = balancer.flow(1).target
     balancer.feed(flows.TargetRemoved(name, balancer.now_ms))
 
 
 @given('the target {number:d} of {service} that left before, as a peer tells')
-def former_target(context, number, service):
+def retired_target(context, number, service):
     balancer = context.balancer
     entry = make_entry('former', service, number=number)
-    until_ms = balancer.now_ms + FORMER_LEFT_MS
+    until_ms = balancer.now_ms + RETIRED_FOR_MS
     balancer.feed(flows.RetiredTarget(entry, until_ms))
     context.number = number
 
@@ -471,7 +471,7 @@
 
 
 @then('it is not known any more')
-def not_known(context):
+def tag_unknown(context):
     kinds = [type(one) for one in context.balancer.last]
     assert kinds == [flows.TargetsNeeded], kinds
 
@@ -500,7 +500,7 @@
 
 
 @when('client 1 sends two segments that change their places on the way')
-def overtaken(context):
+def segments_reordered(context):
     balancer = context.balancer
     first = balancer.flow(1).sent
     second = first + CLIENT_DATA_BYTES
@@ -508,51 +508,51 @@
     send_data(balancer, 1, '198.51.0.1:8443', sequence=first)
 
 
-def judge(balancer, name, is_dead=True):
+def report_health(balancer, name, is_dead=True):
     """Judge a target dead or alive, by evidence and probes."""
     now_ms = balancer.now_ms
     result = ProbeResult.SILENT if is_dead else ProbeResult.ANSWERED
     events = [TargetUnresponsive(name, now_ms)]
     ended = ProbeEnded(name, result, now_ms, now_ms)
     events += [ended] * PROBES_TO_DEAD
-    judged = ConditionChanged(name, is_dead, 0)
+    change = ConditionChanged(name, is_dead, 0)
     for event in events:
         health = balancer.state.health
         for action in target_health.decide(health, event):
             if isinstance(action, ConditionChanged):
-                judged = action
+                change = action
     return balancer.feed(
-        flows.TargetHealthChanged(judged.target, is_dead, balancer.now_ms)
+        flows.TargetHealthChanged(change.target, is_dead, balancer.now_ms)
     )
 
 
 @given('the target {name} was judged dead {interval:d} ms ago')
-def judged_dead_ago(context, name, interval):
-    judge(context.balancer, name)
+def found_dead_ago(context, name, interval):
+    report_health(context.balancer, name)
     context.balancer.pass_time(interval)
 
 
 @then('it is forwarded to {target}, and its target is asked again')
-def forwarded_and_asked(context, target):
+def forwarded_and_probed(context, target):
     balancer = context.balancer
     (found,) = forwards(balancer.last)
     assert found.target.name == target, found
-    (silence,) = balancer.of(TargetUnresponsive)
-    asked = target_health.decide(balancer.state.health, silence)
+    (unresponsive,) = balancer.actions_of(TargetUnresponsive)
+    probes = target_health.decide(balancer.state.health, unresponsive)
     now_ms = balancer.now_ms
-    assert asked == [target_health.SendProbe(target, now_ms)], asked
+    assert probes == [target_health.SendProbe(target, now_ms)], probes
 
 
 @when('the target of client 1 is judged dead')
-def target_judged_dead(context):
-    judge(context.balancer, context.balancer.flow(1).target)
+def target_found_dead(context):
+    report_health(context.balancer, context.balancer.flow(1).target)
 
 
 @when('all targets of {service} are judged dead')
-def all_judged_dead(context, service):
+def all_found_dead(context, service):
     for entry in context.entries.values():
         if entry.service == service:
-            judge(context.balancer, entry.name)
+            report_health(context.balancer, entry.name)
 
 
 @when('{count:d} random histories of {length:d} events are played')
@@ -639,7 +639,7 @@
         name = self.rng.choice(list(self.entries))
         is_dead = name not in self.dead
         (self.dead.add if is_dead else self.dead.discard)(name)
-        self._check(judge(self.balancer, name, is_dead))
+        self._check(report_health(self.balancer, name, is_dead))
 
     def _check(self, actions):
         for one in actions:
@@ -672,7 +672,7 @@
 
 
 @then('no segment went to a target of another service')
-def none_astray(context):
+def no_other_service(context):
     found = [
         one for history in context.histories for one in history.wrong_service
     ]
--- a/tests/features/steps/own_link_steps.py
+++ b/tests/features/steps/link_monitor_steps.py
@@ -24,20 +24,20 @@
 UPLOAD_BYTES = 1_232
 # One packet of an upload each 5 ms is all that 2 Mbit/s carry.
 UPLOAD_GAP_MS = 5
-PROBE_TAKES_MS = 100
+PROBE_TIMEOUT_MS = 100
 RESEND_AFTER_MS = 400
-DEAD = 'one'
+TARGET = 'one'
 
 
 @given('an own link of {rate:d} Mbit/s')
-def own_link(context, rate):
+def local_link(context, rate):
     context.link = LinkMonitor(rate)
     context.now_ms = START_MS
 
 
 @when('packets of {size:d} bytes come each {gap:d} ms for {lasts:d} ms, and '
       '{later:d} ms pass')  # fmt: skip
-def packets_come(context, size, gap, lasts, later):
+def packets_received(context, size, gap, lasts, later):
     for _ in range(lasts // gap):
         context.now_ms += gap
         context.link.received(size, context.now_ms)
@@ -45,7 +45,7 @@
 
 
 @when('packets of {size:d} bytes come and go each {gap:d} ms for {lasts:d} ms')
-def packets_pass(context, size, gap, lasts):
+def packets_both_ways(context, size, gap, lasts):
     for _ in range(lasts // gap):
         context.now_ms += gap
         context.link.received(size, context.now_ms)
@@ -62,30 +62,30 @@
     health = context.health = target_health.TargetHealth()
     silent = target_health.ProbeResult.SILENT
     target_health.decide(
-        health, target_health.TargetUnresponsive(DEAD, START_MS)
+        health, target_health.TargetUnresponsive(TARGET, START_MS)
     )
     for _ in range(target_health.PROBES_TO_DEAD):
-        ended = target_health.ProbeEnded(DEAD, silent, START_MS, START_MS)
+        ended = target_health.ProbeEnded(TARGET, silent, START_MS, START_MS)
         target_health.decide(health, ended)
-    assert health.is_proven_dead(DEAD, START_MS)
+    assert health.is_proven_dead(TARGET, START_MS)
     target_health.decide(health, target_health.LinkStateChanged(True))
 
 
 @when('the target is silent to a probe {later:d} ms later')
-def silent_later(context, later):
+def probe_unanswered(context, later):
     context.now_ms = START_MS + later
     target_health.decide(context.health, Tick(context.now_ms))
     unproven = target_health.ProbeResult.UNPROVEN
     ended = target_health.ProbeEnded(
-        DEAD, unproven, context.now_ms, context.now_ms
+        TARGET, unproven, context.now_ms, context.now_ms
     )
     target_health.decide(context.health, ended)
 
 
 @then('nothing proves that it is dead')
 def not_proven(context):
-    assert context.health.is_dead(DEAD)
-    assert not context.health.is_proven_dead(DEAD, context.now_ms)
+    assert context.health.is_dead(TARGET)
+    assert not context.health.is_proven_dead(TARGET, context.now_ms)
 
 
 class LinkedBalancer(Balancer):
@@ -97,23 +97,23 @@
         self.probes = []
         self.result = target_health.ProbeResult.SILENT
 
-    def judge(self, event):
+    def decide_health(self, event):
         """Tell the evidence on targets of an event, and obey."""
-        self._obey(target_health.decide(self.state.health, event))
+        self._execute(target_health.decide(self.state.health, event))
 
-    def _obey(self, actions):
+    def _execute(self, actions):
         for action in actions:
             match action:
                 case target_health.SendProbe():
                     self.probes.append(action)
                 case target_health.ConditionChanged():
-                    died = flows.TargetHealthChanged(
+                    change = flows.TargetHealthChanged(
                         action.target,
                         action.is_dead,
                         self.now_ms,
                         action.is_suspected,
                     )
-                    self.feed(died)
+                    self.feed(change)
 
     def feed(self, event):
         """Decide on an event; evidence goes where targets are judged."""
@@ -121,28 +121,28 @@
         for action in actions:
             match action:
                 case target_health.TargetUnresponsive():
-                    self.judge(action)
+                    self.decide_health(action)
                 case target_health.TargetResponsive():
-                    self.judge(action)
+                    self.decide_health(action)
         return actions
 
-    def run(self, lasts_ms, is_uploading):
+    def run(self, duration_ms, is_uploading):
         """Let time pass, with uploads that fill the link or without."""
-        until_ms = self.now_ms + lasts_ms
+        until_ms = self.now_ms + duration_ms
         while self.now_ms < until_ms:
             for _ in range(TICK_MS // UPLOAD_GAP_MS):
                 self.now_ms += UPLOAD_GAP_MS
                 if is_uploading:
                     self.link.received(UPLOAD_BYTES, self.now_ms)
             is_busy = self.link.is_busy(self.now_ms)
-            self.judge(target_health.LinkStateChanged(is_busy))
+            self.decide_health(target_health.LinkStateChanged(is_busy))
             self.feed(Tick(self.now_ms))
-            self.judge(Tick(self.now_ms))
+            self.decide_health(Tick(self.now_ms))
             self._end_probes()
 
     def _end_probes(self):
         for sent in list(self.probes):
-            if self.now_ms - sent.sent_ms < PROBE_TAKES_MS:
+            if self.now_ms - sent.sent_ms < PROBE_TIMEOUT_MS:
                 continue
             self.probes.remove(sent)
             result = self.result
@@ -152,7 +152,7 @@
             ended = target_health.ProbeEnded(
                 sent.target, result, sent.sent_ms, self.now_ms
             )
-            self.judge(ended)
+            self.decide_health(ended)
 
 
 @given('a balancer on a link of {rate:d} Mbit/s with open flows to two '
@@ -160,7 +160,7 @@
 def linked_balancer(context, rate):
     balancer = LinkedBalancer(rate, make_balancer('a').state)
     context.balancer = balancer
-    for name, number in ((DEAD, 11), ('two', 12)):
+    for name, number in ((TARGET, 11), ('two', 12)):
         balancer.put(make_entry(name, 'guide', number=number))
     table = make_table(3, [make_route()])
     balancer.feed(flows.RoutesChanged(table, START_MS))
@@ -168,7 +168,7 @@
         balancer.send(client, ADDRESS, opens=True)
         send_data(balancer, client, ADDRESS)
     context.client = next(
-        one for one in (1, 2) if balancer.flow(one).target == DEAD
+        one for one in (1, 2) if balancer.flow(one).target == TARGET
     )
 
 
@@ -203,11 +203,11 @@
 @then('{count:d} flows were reset, and new flows go to {chosen}')
 def flows_reset(context, count, chosen):
     balancer = context.balancer
-    found = balancer.of(flows.Refuse)
+    found = balancer.actions_of(flows.Refuse)
     assert len(found) == count, found
     first = 100 + len(balancer.segments)
     for client in range(first, first + 4):
         balancer.send(client, ADDRESS, opens=True)
         send_data(balancer, client, ADDRESS)
     targets = {balancer.flow(one).target for one in range(first, first + 4)}
-    assert targets == ({'two'} if chosen == 'another' else {DEAD, 'two'})
+    assert targets == ({'two'} if chosen == 'another' else {TARGET, 'two'})
--- a/tests/features/steps/placement_steps.py
+++ b/tests/features/steps/placement_steps.py
@@ -71,7 +71,7 @@
     assert found <= 0.1, found
 
 
-class Saturated:
+class SaturatedTarget:
     """Keeps one target as full as its capacity estimate allows."""
 
     def __init__(self, slots, queue):
@@ -131,7 +131,7 @@
             self.timeline.run(self.timeline.now_ms + 5)
 
 
-class Shared(Saturated):
+class SharedProcessorTarget(SaturatedTarget):
     """A target whose requests all share one processor."""
 
     def submit(self, work_ms, on_answer, _on_refusal):
@@ -141,12 +141,12 @@
 
 @given('a target with {slots:d} slots and a queue of {queue:d}')
 def target_with(context, slots, queue):
-    context.saturated = Saturated(slots, queue)
+    context.saturated = SaturatedTarget(slots, queue)
 
 
 @given('a target that shares one processor among all requests')
 def target_sharing(context):
-    context.saturated = Shared(1, 0)
+    context.saturated = SharedProcessorTarget(1, 0)
 
 
 @when('it is kept full for {count:d} requests')
--- a/tests/features/steps/proof_steps.py
+++ b/tests/features/steps/proof_steps.py
@@ -27,9 +27,9 @@
 
 NOW_MS = 1_000_000
 # An entry that went without a word is doubted for that long.
-DOUBTED_MS = 2_600
+MISSING_MS = 2_600
 # Longer than a probe and its request may take.
-HELD_UP_S = 0.3
+BLOCKED_S = 0.3
 
 
 def make_path():
@@ -48,12 +48,12 @@
     return PacketPath(clock, None, options, log, Metrics(), None)
 
 
-def tell(context, news):
+def apply_update(context, update):
     """Let the store tell of targets."""
     path = context.path
-    posted = FeedUpdate(TARGETS, news)
+    feed_update = FeedUpdate(TARGETS, update)
     path.execute(
-        path.store_cache.apply_feed_update(posted, path.clock.now_ms())
+        path.store_cache.apply_feed_update(feed_update, path.clock.now_ms())
     )
 
 
@@ -61,23 +61,25 @@
 def target_that(context, leaving):
     path = context.path = make_path()
     entry = make_entry('one', 'guide')
-    tell(context, Listing((entry,), 10, may_lag='may lag' in leaving))
+    apply_update(context, Listing((entry,), 10, may_lag='may lag' in leaving))
     if leaving.startswith('drain'):
-        tell(context, Delta((evolve(entry, draining=True),), (), 11, 10))
+        apply_update(
+            context, Delta((evolve(entry, draining=True),), (), 11, 10)
+        )
     if 'gone' in leaving:
-        tell(context, Delta((), ('one',), 12, 11))
-        path.clock.advance(DOUBTED_MS)
+        apply_update(context, Delta((), ('one',), 12, 11))
+        path.clock.advance(MISSING_MS)
         path.tick()
         assert 'one' in path.state.retired, path.state.retired
 
 
-@when('its probes are {result}, {after:d} ms after it was told')
+@when('its probes are {result}, {after:d} ms after the update')
 def probes_are(context, result, after):
     path = context.path
     path.clock.advance(after)
     health = path.state.health
-    silent = target_health.TargetUnresponsive('one', path.clock.now_ms())
-    path.execute(target_health.decide(health, silent))
+    unresponsive = target_health.TargetUnresponsive('one', path.clock.now_ms())
+    path.execute(target_health.decide(health, unresponsive))
     for _ in range(2 * target_health.PROBES_TO_DEAD):
         for sent in path.pending_probes:
             path.handle_probe_result(sent, target_health.ProbeResult(result))
@@ -87,61 +89,61 @@
         path.execute(target_health.decide(health, tick))
 
 
-@then('by its probes it is {belief}')
-def by_its_probes(context, belief):
+@then('after the probes it is {condition}')
+def condition_after_probes(context, condition):
     health = context.path.state.health
-    assert health.is_dead('one') == (belief == 'dead'), health
-    assert health.is_avoided('one') == (belief != 'alive'), health
+    assert health.is_dead('one') == (condition == 'dead'), health
+    assert health.is_avoided('one') == (condition != 'alive'), health
 
 
-@when('a process is {age:d} ms old as its first list is there')
+@when('a process is {age:d} ms old when its first list is complete')
 def process_is_old(context, age):
     state = list_watch.ListWatchState(recheck_ms=list_watch.recheck_ms(age))
     list_watch.decide(state, list_watch.ListInProgress())
     (context.call,) = list_watch.decide(state, list_watch.Finished(10))
 
 
-@then('it proves the list {wait:d} ms later')
-def proves_later(context, wait):
+@then('it confirms the list {wait:d} ms later')
+def confirms_later(context, wait):
     wanted = list_watch.Watch(wait, 10, list_watch.IMMEDIATE_WAIT_MS)
     assert context.call == wanted, context.call
 
 
-async def serve(does, reader, writer):
+async def serve(behavior, reader, writer):
     """Answer one probe, or don't."""
     await reader.readuntil(b'\r\n\r\n')
-    if does == 'breaks off':
+    if behavior == 'breaks off':
         writer.close()
         return
-    if 'answers' in does:
-        name = 'two' if 'another' in does else 'one'
+    if 'answers' in behavior:
+        name = 'two' if 'another' in behavior else 'one'
         head = f'HTTP/1.1 200 -\r\nContent-Length: 0\r\nInstance-Id: {name}'
         writer.write(f'{head}\r\n\r\n'.encode())
     await reader.read()
     writer.close()
 
 
-async def probe_one(does):
+async def probe_one(behavior):
     """Return how a probe of a target ends that does something."""
     server = await asyncio.start_server(
-        lambda reader, writer: serve(does, reader, writer), '127.0.0.1', 0
+        lambda reader, writer: serve(behavior, reader, writer), '127.0.0.1', 0
     )
     endpoint = Endpoint(*server.sockets[0].getsockname())
-    if does == 'listens no more':
+    if behavior == 'listens no more':
         server.close()
     entry = evolve(make_entry('one', 'guide'), endpoint=endpoint)
     task = asyncio.create_task(probe(Clock(), entry, '/'))
-    if 'held up' in does:
+    if 'held up' in behavior:
         await asyncio.sleep(0)
-        time.sleep(HELD_UP_S)
+        time.sleep(BLOCKED_S)
     result = await task
     server.close()
     return result
 
 
-@when('a probe meets a target that {does}')
-def probe_meets(context, does):
-    context.result = asyncio.run(probe_one(does))
+@when('a probe meets a target that {behavior}')
+def probe_meets(context, behavior):
+    context.result = asyncio.run(probe_one(behavior))
 
 
 @then('the probe is {result}')
--- a/tests/features/steps/restart_steps.py
+++ b/tests/features/steps/restart_steps.py
@@ -22,7 +22,7 @@
 ANSWERED = 900
 
 
-def tell_start(balancer, name, started_wall_ms):
+def send_start_time(balancer, name, started_wall_ms):
     """Tell a balancer when a target started."""
     known = balancer.state.tags.entries[name]
     entry = evolve(known, started_wall_ms=started_wall_ms)
@@ -43,21 +43,21 @@
 def target_started(context, client, start):
     balancer = context.balancer
     name = balancer.flow(client).target
-    tell_start(balancer, name, FIRST_START_MS)
-    tell_start(balancer, name, STARTS[start])
-    context.told = list(balancer.last)
+    send_start_time(balancer, name, FIRST_START_MS)
+    send_start_time(balancer, name, STARTS[start])
+    context.actions = list(balancer.last)
 
 
 @when('{name} is told to have started {start}')
 def named_started(context, name, start):
-    tell_start(context.balancer, name, FIRST_START_MS)
-    tell_start(context.balancer, name, STARTS[start])
+    send_start_time(context.balancer, name, FIRST_START_MS)
+    send_start_time(context.balancer, name, STARTS[start])
 
 
 @then('it is sent again {requests:d} requests, and {count:d} flows are '
       'forgotten')  # fmt: skip
 def sent_again(context, requests, count):
-    sent = forwards(context.told)
+    sent = forwards(context.actions)
     assert len(sent) == requests, sent
     kept = context.balancer.segments
     assert all(one.segment is kept[1] for one in sent), sent
@@ -94,18 +94,18 @@
     assert sent.tag == tag, sent
 
 
-@when('a target of start {first:d} is told at revision {early:d}, and of '
+@when('a target of start {first:d} is received at revision {early:d}, and of '
       'start {second:d} at revision {late:d}')  # fmt: skip
-def told_twice(context, first, early, second, late):
+def received_twice(context, first, early, second, late):
     context.directory = directory.DirectoryState()
     entry = make_entry('one', 'guide', number=1)
     for start, revision in ((first, early), (second, late)):
-        told = evolve(entry, started_wall_ms=start)
-        event = directory.TargetsChanged((told,), (), revision, NOW_MS)
+        update = evolve(entry, started_wall_ms=start)
+        event = directory.TargetsChanged((update,), (), revision, NOW_MS)
         directory.decide(context.directory, event)
 
 
-@then('start {start:d} is believed')
-def start_believed(context, start):
+@then('start {start:d} is kept')
+def start_kept(context, start):
     (entry,) = context.directory.entries.values()
     assert entry.started_wall_ms == start, entry
--- a/tests/features/steps/cold_steps.py
+++ b/tests/features/steps/slow_start_steps.py
@@ -13,7 +13,7 @@
 from liftmount._internal.models.records import evolve
 from liftmount._internal.models.segments import WarmUp
 
-COLD_MS = 2_000
+SLOW_START_MS = 2_000
 
 
 @given('{balancers:d} balancers that send to {cold} targets that turn cold')
@@ -46,7 +46,7 @@
 
 
 @then('some cold target gets more than the rule allows')
-def beyond_rule(context):
+def exceeds_rule(context):
     assert context.result.most > context.case.allowed(), context.result
 
 
@@ -58,7 +58,7 @@
 
 @given('{balancers:d} balancers whose targets turned cold {quiet:d} ms ago, '
        'without any flow since')  # fmt: skip
-def quiet_balancers(context, balancers, quiet):
+def idle_balancers(context, balancers, quiet):
     warm_up = WarmUp(10.0, 2 * quiet)
     context.budgets = []
     context.now_ms = 1_000 + quiet
@@ -69,7 +69,7 @@
 
 
 @when('each sends what it may within a second')
-def sends_what_it_may(context):
+def sends_within_budget(context):
     context.sent = 0
     for now_ms in range(context.now_ms, context.now_ms + 1_000, 10):
         for budget in context.budgets:
@@ -85,7 +85,7 @@
 
 @given('targets that are cold for {lasts:d} ms bear {rate:d} requests a '
        'second')  # fmt: skip
-def cold_rate(context, lasts, rate):
+def slow_start_rate(context, lasts, rate):
     state = context.balancer.state
     warm_ups = {}
     if rate:
@@ -103,27 +103,29 @@
 
 
 @given('the balancer knows of {count:d} balancers')
-def fleet_of(context, count):
+def fleet_size(context, count):
     context.balancer.state.fleet.name = 'one'
     context.balancer.state.fleet.balancers = count
 
 
 @when('{first} and {second} turn cold')
-def turn_cold(context, first, second):
+def both_enter_slow_start(context, first, second):
     for name in (first, second):
-        one_turns_cold(context, name)
+        enters_slow_start(context, name)
 
 
 @when('{name} turns cold')
-def one_turns_cold(context, name):
-    entry = evolve(context.entries[name], warm_up_ms=COLD_MS)
+def enters_slow_start(context, name):
+    entry = evolve(context.entries[name], warm_up_ms=SLOW_START_MS)
     context.balancer.put(entry)
 
 
 @then('{count:d} flows go to {target}, the others {others}')
 def flows_go(context, count, target, others):
     balancer = context.balancer
-    opened = [client for client in context.opened if placed(balancer, client)]
+    opened = [
+        client for client in context.opened if is_placed(balancer, client)
+    ]
     at = [balancer.flow(client).target for client in opened]
     refused = len(context.opened) - len(opened)
     assert at.count(target) == count, at
@@ -137,7 +139,7 @@
             assert at.count(other) == rest, at
 
 
-def placed(balancer, client):
+def is_placed(balancer, client):
     """Tell whether a client's flow is anywhere."""
     return balancer.segments[client].flow in balancer.state.flows
 
@@ -151,11 +153,15 @@
 @then('they go to {targets}')
 def they_go_to(context, targets):
     balancer = context.balancer
-    opened = [client for client in context.opened if placed(balancer, client)]
+    opened = [
+        client for client in context.opened if is_placed(balancer, client)
+    ]
     found = {balancer.flow(client).target for client in opened}
     if targets.startswith('nowhere'):
         assert not opened, found
-        reasons = {one.reason.value for one in balancer.of(flows.Refuse)}
+        reasons = {
+            one.reason.value for one in balancer.actions_of(flows.Refuse)
+        }
         assert reasons == {targets.split()[-1]}, reasons
         return
     assert found == set(targets.split(', ')), found
--- a/tests/features/steps/stalls_steps.py
+++ b/tests/features/steps/stalls_steps.py
@@ -26,8 +26,8 @@
 from tests.features.steps.forwarding_steps import make_entry
 from tests.features.steps.forwarding_steps import make_table
 from tests.features.steps.forwarding_steps import send_data
-from tests.features.steps.own_link_steps import ADDRESS
-from tests.features.steps.own_link_steps import make_route
+from tests.features.steps.link_monitor_steps import ADDRESS
+from tests.features.steps.link_monitor_steps import make_route
 
 START_MS = 100_000
 ANSWERS = 100
@@ -36,7 +36,7 @@
 AFTER_MS = 200
 TARGET = 'one'
 WAITED_MS = 300
-PARTS = {'a seventh': 7, 'half': 2}
+DIVISORS = {'a seventh': 7, 'half': 2}
 
 
 @given('answers of guide that take {answer:d} ms')
@@ -75,7 +75,7 @@
 
 @then('it is a stall: {stall}')
 def is_stall(context, stall):
-    found = context.balancer.of(Stalled)
+    found = context.balancer.actions_of(Stalled)
     assert len(found) == (stall == 'yes'), found
     load = context.balancer.state.pool('guide').targets[TARGET]
     is_avoided = context.balancer.now_ms < load.ejected_until_ms
@@ -85,45 +85,45 @@
 @given('a member with {count:d} others')
 def member_with_others(context, count):
     peers = tuple(f'm{number}' for number in range(count))
-    context.doubts = stall_reports.StallReportState('me', peers)
+    context.reports = stall_reports.StallReportState('me', peers)
     context.now_ms = START_MS
 
 
-def see(context, source, target=TARGET, ago_ms=0, number=None):
+def report_stall(context, source, target=TARGET, ago_ms=0, number=None):
     """Let a member see a target stall; return what is done about it."""
     event = stall_reports.StallSeen(target, WAITED_MS, context.now_ms)
     if source != 'me':
         number = context.now_ms if number is None else number
-        doubt = wire.StallReport(target, source, WAITED_MS, ago_ms, number)
-        event = stall_reports.StallReportReceived(doubt, context.now_ms)
-    return stall_reports.decide(context.doubts, event)
+        report = wire.StallReport(target, source, WAITED_MS, ago_ms, number)
+        event = stall_reports.StallReportReceived(report, context.now_ms)
+    return stall_reports.decide(context.reports, event)
 
 
 @when('a target is seen to stall by, in this order: {events}')
-def seen_by(context, events):
-    context.held_ms = 0
+def stalls_reported(context, events):
+    context.ejected_ms = 0
     for words in read_events(events):
         match words:
             case ['wait', interval]:
                 context.now_ms += int(interval)
-                context.held_ms = 0
+                context.ejected_ms = 0
                 actions = stall_reports.decide(
-                    context.doubts, Tick(context.now_ms)
+                    context.reports, Tick(context.now_ms)
                 )
             case [source, ago, 'ms', 'ago']:
-                actions = see(context, source, ago_ms=int(ago))
+                actions = report_stall(context, source, ago_ms=int(ago))
             case [source, 'again']:
-                actions = see(context, source, number=START_MS)
+                actions = report_stall(context, source, number=START_MS)
             case [source]:
-                actions = see(context, source)
+                actions = report_stall(context, source)
         for one in actions:
             if isinstance(one, stall_reports.EjectTarget):
-                context.held_ms = one.until_ms - context.now_ms
+                context.ejected_ms = one.until_ms - context.now_ms
 
 
 @then('it is held out for {hold:d} ms, or up to twice as long')
-def held_out_for(context, hold):
-    assert hold <= context.held_ms <= 2 * hold, context.held_ms
+def ejected_for(context, hold):
+    assert hold <= context.ejected_ms <= 2 * hold, context.ejected_ms
 
 
 @then('of {count:d} members that hold a target out at most {most:d} try it '
@@ -131,20 +131,20 @@
 def try_again(context, count, most):
     untils = []
     for number in range(count):
-        context.doubts = stall_reports.StallReportState(f'm{number}')
-        see(context, 'b')
-        (hold,) = see(context, 'c')
+        context.reports = stall_reports.StallReportState(f'm{number}')
+        report_stall(context, 'b')
+        (hold,) = report_stall(context, 'c')
         untils.append(hold.until_ms)
     untils.sort()
     assert untils[most] - untils[0] > 200, untils
 
 
 @when('{count:d} targets stall within 1000 ms, seen by {source}')
-def many_stall(context, count, source):
+def targets_stall(context, count, source):
     context.told = []
     for number in range(count):
         context.now_ms += 1_000 // count
-        actions = see(context, source, target=f't{number}')
+        actions = report_stall(context, source, target=f't{number}')
         context.told += [
             one
             for one in actions
@@ -153,22 +153,22 @@
 
 
 @then('it tells at most {tells:d} times, each time {fanout:d} members')
-def tells_at_most(context, tells, fanout):
+def sends_at_most(context, tells, fanout):
     assert min(tells, 1) <= len(context.told) <= tells, len(context.told)
     assert all(len(set(one.peers)) == fanout for one in context.told)
 
 
 @when('a doubt is told over the wire')
-def doubt_over_wire(context):
-    context.doubt = wire.StallReport('i-7f', 'one', 321, 45, 6)
-    context.datagram = wire.encode_stall_report(context.doubt)
+def report_over_wire(context):
+    context.report = wire.StallReport('i-7f', 'one', 321, 45, 6)
+    context.datagram = wire.encode_stall_report(context.report)
 
 
 @then('it is the same, and random bytes are refused')
-def same_doubt(context):
+def same_report(context):
     assert wire.is_stall_report(context.datagram)
     assert not wire.is_heartbeat(context.datagram)
-    assert wire.decode_stall_report(context.datagram) == context.doubt
+    assert wire.decode_stall_report(context.datagram) == context.report
     rng = random.Random(5)
     for _ in range(ANSWERS):
         try:
@@ -192,7 +192,7 @@
 
 
 @when('all of them are held out, one after the other')
-def all_held_out(context):
+def all_ejected(context):
     for name in context.pool.targets:
         context.pool.eject(name, START_MS + 2_000, START_MS)
 
@@ -204,11 +204,11 @@
 
 
 @define
-class Member:
+class SimulatedBalancer:
     """One balancer: its view of the targets, and what it was told."""
 
     pool: Pool
-    doubts: stall_reports.StallReportState
+    reports: stall_reports.StallReportState
     watch: StallWatch = Factory(StallWatch)
     inbox: list = Factory(list)
 
@@ -220,15 +220,15 @@
     a tick.  ``lost`` are the times of those that met a target that hangs.
     """
 
-    def __init__(self, balancers, targets, hanging, is_telling):
+    def __init__(self, balancers, targets, hanging, is_reporting):
         self.rng = random.Random(11)
         self.hanging = {f't{number}' for number in range(hanging)}
-        self.is_telling = is_telling
+        self.is_reporting = is_reporting
         self.lost = []
         self.ends = []
         names = [f'm{number}' for number in range(balancers)]
         self.members = {
-            name: Member(
+            name: SimulatedBalancer(
                 make_pool(targets, 1 + index),
                 stall_reports.StallReportState(
                     name, tuple(one for one in names)
@@ -237,10 +237,10 @@
             for index, name in enumerate(names)
         }
 
-    def run(self, lasts_ms, per_s):
+    def run(self, duration_ms, per_s):
         """Open flows for some time."""
         owed = 0.0
-        for now_ms in range(START_MS, START_MS + lasts_ms, TICK_MS):
+        for now_ms in range(START_MS, START_MS + duration_ms, TICK_MS):
             owed += per_s * TICK_MS / 1_000
             while owed >= 1:
                 owed -= 1
@@ -249,7 +249,7 @@
                 )
             self._answer(now_ms)
             for name, member in self.members.items():
-                self._look(name, member, now_ms)
+                self._find_stalls(name, member, now_ms)
 
     def _open(self, member, now_ms):
         target = member.pool.choose_for_flow(now_ms)
@@ -272,61 +272,62 @@
             member.pool.finished(flow.target, now_ms)
             member.watch.answered('guide', ANSWER_MS)
 
-    def _look(self, name, member, now_ms):
-        heard, member.inbox = member.inbox, []
+    def _find_stalls(self, name, member, now_ms):
+        received, member.inbox = member.inbox, []
         events = [
-            stall_reports.StallReportReceived(doubt, now_ms) for doubt in heard
+            stall_reports.StallReportReceived(report, now_ms)
+            for report in received
         ]
         for stall in member.watch.find(now_ms, True):
             member.pool.avoid(stall.target, now_ms + forwarding.AVOID_MS)
             events.append(
                 stall_reports.StallSeen(stall.target, stall.waited_ms, now_ms)
             )
-        if not self.is_telling:
+        if not self.is_reporting:
             return
         for event in events:
-            for action in stall_reports.decide(member.doubts, event):
-                self._obey(member, action, now_ms)
+            for action in stall_reports.decide(member.reports, event):
+                self._execute(member, action, now_ms)
 
-    def _obey(self, member, action, now_ms):
+    def _execute(self, member, action, now_ms):
         match action:
-            case stall_reports.SendStallReport(doubt, peers):
+            case stall_reports.SendStallReport(report, peers):
                 for peer in peers:
-                    self.members[peer].inbox.append(doubt)
+                    self.members[peer].inbox.append(report)
             case stall_reports.EjectTarget(target, until_ms):
                 member.pool.eject(target, until_ms, now_ms)
 
 
-@given('{balancers:d} balancers before {targets:d} targets, of which '
+@given('{balancers:d} balancers in front of {targets:d} targets, of which '
        '{hanging:d} hang for {lasts:d} ms')  # fmt: skip
 def hanging_service(context, balancers, targets, hanging, lasts):
     context.size = (balancers, targets, hanging)
-    context.lasts_ms = lasts
+    context.duration_ms = lasts
 
 
 @when('{per_s:d} flows a second open, and each knows what it saw itself')
 def own_views(context, per_s):
     context.per_s = per_s
     context.own = HangingService(*context.size, False)
-    context.own.run(context.lasts_ms, per_s)
+    context.own.run(context.duration_ms, per_s)
 
 
 @when('the same flows open, and members tell each other what they saw')
-def told_views(context):
+def shared_views(context):
     context.told = HangingService(*context.size, True)
     per_s = getattr(context, 'per_s', 400)
-    context.told.run(context.lasts_ms, per_s)
+    context.told.run(context.duration_ms, per_s)
 
 
 @then('at most {part} of the flows is lost')
 def lost_at_most(context, part):
     own, told = len(context.own.lost), len(context.told.lost)
-    assert told * PARTS[part] <= own, (told, own)
+    assert told * DIVISORS[part] <= own, (told, own)
 
 
 @then('each balancer still uses at least {least:d} targets')
 def still_uses(context, least):
-    now_ms = START_MS + context.lasts_ms
+    now_ms = START_MS + context.duration_ms
     found = [
         len(member.pool.usable(now_ms))
         for member in context.told.members.values()
@@ -335,11 +336,11 @@
 
 
 @given('nobody watches for stalls')
-def nobody_watches(context):
+def stall_detection_off(context):
     context.balancer.state.is_watching_stalls = False
 
 
 @then('no request is kept')
-def no_request_kept(context):
+def no_request_tracked(context):
     services = context.balancer.state.stalls.services.values()
     assert not any(one.waiting for one in services)
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -28,8 +28,8 @@
 TRANSFERS = 'tests/features/platform/transfers.feature'
 EVACUATIONS = 'tests/features/decisions/evacuations.feature'
 CONFIRMING = 'tests/features/decisions/confirming.feature'
-COLD = 'tests/features/decisions/cold.feature'
-OWN_LINK = 'tests/features/decisions/own_link.feature'
+COLD = 'tests/features/decisions/slow_start.feature'
+OWN_LINK = 'tests/features/decisions/link_monitor.feature'
 STALLS = 'tests/features/decisions/stalls.feature'
 FORWARDING = 'tests/features/decisions/forwarding.feature'
 LIMIT_S = 300
@@ -255,7 +255,7 @@
         "        return False, 'started of late'\n    if state.is_root",
         '        pass\n    if state.is_root',
         DOMAIN_START,
-        'Members that start do not read the store',
+        'Only the first of several starting members becomes store reader',
     ),
     Mutation(
         'transfers: the time of a whole answer is limited',
@@ -343,7 +343,7 @@
         '    if late_ms > 0:',
         '    if False:',
         COLD,
-        'What is not sent in a quiet time',
+        'Unused rate of an idle time is not used at once',
     ),
     Mutation(
         'cold: all send the first flow at once',
@@ -351,7 +351,7 @@
         'phase_ms = gap_ms * mixed / CRC_VALUES',
         'phase_ms = 0',
         COLD,
-        'No cold target gets more than the rule allows',
+        'No target in slow start exceeds its rate limit',
     ),
     Mutation(
         'cold: a copy of an opening costs nothing',
@@ -359,7 +359,7 @@
         '            self.cold.spend(target.name, now_ms)\n',
         '            pass\n',
         COLD,
-        'Copies of an opening count as well',
+        'Copies of an opening count against the rate',
     ),
     Mutation(
         'cold: targets that are taken back are warm',
@@ -367,7 +367,7 @@
         'if target.failure_domain in returned:',
         'if False:',
         COLD,
-        'Targets of a domain that is taken back',
+        'Targets of a domain whose evacuation ends',
     ),
     Mutation(
         'regions: any target may take an opening',
@@ -391,7 +391,7 @@
         'return now_ms < self.busy_until_ms',
         'return False',
         OWN_LINK,
-        'An upload burst resets no flow of a target that lives',
+        'An upload burst resets no flow of a live target',
     ),
     Mutation(
         'a suspected target gets new flows like any other',
@@ -399,7 +399,7 @@
         'is_avoided = event.is_dead or event.is_suspected',
         'is_avoided = event.is_dead',
         OWN_LINK,
-        'An upload burst resets no flow of a target that lives',
+        'An upload burst resets no flow of a live target',
     ),
     Mutation(
         'a refusal by a draining target proves its end',
@@ -415,7 +415,7 @@
         'actions.append(Forward(flow.request, entry, flow.tag))',
         'pass',
         FORWARDING,
-        'A target that started again under its name holds no flow of before',
+        'A target that restarted under its name has no earlier flows',
     ),
     Mutation(
         'what is told late takes a start back',
@@ -439,7 +439,7 @@
         'if len(fresh) < QUORUM:',
         'if len(fresh) < 1:',
         STALLS,
-        'Nobody is convinced by one balancer',
+        'Reports of a single balancer eject no target',
     ),
     Mutation(
         'all targets may be held out',
@@ -447,7 +447,7 @@
         'if avoided + 1 <= MAX_STALL_EJECTED_SHARE * len(self.targets):',
         'if True:',
         STALLS,
-        'No more than a third of a service is held out',
+        'No more than a third of the targets of a service is ejected',
     ),
 )
 
