--- a/tests/features/decisions/domain_start.feature
+++ b/tests/features/decisions/domain_start.feature
@@ -1,7 +1,7 @@
-Feature: All balancers of a domain start at once, and soon know enough
-  The decisions of all members in simulated time, see benches/domain_start.py.
+Feature: All balancers of a domain start at once and soon hold their data
+  Guards against slow starts and load on the store, in simulated time.
 
-  Scenario Outline: Knowledge comes as fast as a link brings it
+  Scenario Outline: Members receive their data as fast as their links allow
     Given <members> members on links of <mbps> Mbit/s, and <routes> routes
     When all start at once
     Then 90 % hold routes and targets within <all_s> s
@@ -20,19 +20,19 @@
       | 40      | 20   | 20000  | 1.5   |
       | 400     | 20   | 2000   | 1.5   |
 
-  Scenario Outline: Trouble with the store holds a start up for little longer
+  Scenario Outline: Faults of the store delay a start only briefly
     Given 40 members on links of 20 Mbit/s, and 2000 routes
-    When all start at once, and the store <trouble> for 3 s
+    When all start at once, and the store <fault> for 3 s
     Then 90 % hold routes and targets within <most_s> s
     And no more than <calls> calls for each kind are made in 15 s
 
     Examples:
-      | trouble            | most_s | calls |
-      | is slow            | 0.8    | 47    |
-      | turns a third away | 2.0    | 100   |
-      | stops halfway      | 5.0    | 100   |
+      | fault                    | most_s | calls |
+      | is slow                  | 0.8    | 47    |
+      | rejects a third of calls | 2.0    | 100   |
+      | stops halfway            | 5.0    | 100   |
 
-  Scenario Outline: Segments that wait for their targets do not hold up a start
+  Scenario Outline: Segments that wait for their targets do not delay a start
     Given <members> members on links of <mbps> Mbit/s, and 100 routes
     And 3000 targets, for which segments wait
     When all start at once
@@ -45,7 +45,7 @@
       | 100     | 5    | 1.8   |
       | 100     | 100  | 1.0   |
 
-  Scenario: Members that start do not read the store besides the first of them
+  Scenario: Only the first of several starting members becomes store reader
     Given 40 members on links of 20 Mbit/s, and 2000 routes
     When all start at once
     Then no more than 47 calls for each kind are made in 15 s
--- a/tests/features/decisions/exploration.feature
+++ b/tests/features/decisions/exploration.feature
@@ -1,10 +1,10 @@
-Feature: All interleavings of small worlds
-  Bounded exhaustive exploration with the real decisions.
+Feature: All interleavings of events in small systems
+  Guards against faults that only one order of events shows.
 
-  Scenario: Two callers, two balancers, one restart, one copy, one cancellation
+  Scenario: Two callers and two balancers with a restart, a copy and a cancellation
     When every interleaving of requests is explored
-    Then no request ran twice and no verdict was wrong in more than 1000 states
+    Then in more than 1000 states no request ran twice and no verdict was wrong
 
   Scenario: An address moves between two teams on two balancers
     When every interleaving of the move is explored
-    Then the two teams were never served at once in more than 50 states
+    Then in more than 50 states the two teams were never served at once
--- a/tests/features/decisions/forwarding.feature
+++ b/tests/features/decisions/forwarding.feature
@@ -1,5 +1,5 @@
 Feature: Every segment of a flow reaches the flow's target
-  Pure decisions on segments, as a balancer gets them.
+  Guards against segments that reach a wrong target and against wrong resets.
 
   Background:
     Given a balancer in domain a with the targets
@@ -14,12 +14,12 @@
       | tiles | 198.51.0.2:8443 | tiles    |
       | split | 198.51.0.3:8443 | guide=3 tiles=1 |
 
-  Scenario: A flow opens at a target of the own domain, the next one at another
+  Scenario: A new flow goes to a local target, the next one to another
     When client 1 opens a flow to 198.51.0.1:8443
     And client 2 opens a flow to 198.51.0.1:8443
     Then the flows of clients 1 and 2 are at near-1 and near-2 in some order
 
-  Scenario: Other domains take flows when the own one carries twice as much
+  Scenario: Remote targets get flows when the local ones carry twice as many
     When clients 1 to 12 open flows to 198.51.0.1:8443
     Then far-1 has at least 1 and at most 3 of the flows
 
@@ -27,7 +27,7 @@
     When a segment of client 7 to 198.51.0.1:8443 arrives with the tag of far-1
     Then it is forwarded to far-1 with the tag of far-1
 
-  Scenario Outline: An open flow stays at its target wherever its route leads now
+  Scenario Outline: An open flow stays at its target after its route changes
     When a segment of client 7 to <address> arrives with the tag of <target>
     Then it is <outcome>
 
@@ -38,7 +38,7 @@
       | 198.51.0.3:8443 | tiles  | forwarded to tiles with the tag of tiles |
       | 198.51.0.9:8443 | near-1 | answered by a reset: route_dropped |
 
-  Scenario Outline: An opening goes where its route leads, whatever tag it has
+  Scenario Outline: An opening goes to a service of its route, regardless of its tag
     When an opening of client 7 to <address> arrives with the tag of <target>
     Then it is forwarded to some target of <service>
 
@@ -47,11 +47,11 @@
       | 198.51.0.1:8443 | tiles  | guide   |
       | 198.51.0.2:8443 | near-1 | tiles   |
 
-  Scenario: A tag that no target has is held, and never guessed
+  Scenario: A segment with an unknown tag is queued, not forwarded
     When a segment of client 7 to 198.51.0.1:8443 arrives with an unknown tag
-    Then it is held, and targets are asked for
+    Then it is queued, and targets are requested
 
-  Scenario Outline: Flows without a route are answered at once
+  Scenario Outline: New flows without a route are reset at once
     When client 1 opens a flow to 198.51.0.9:<port>
     Then it is answered by a reset: no_route
 
@@ -60,7 +60,7 @@
       | 8443 |
       | 1    |
 
-  Scenario Outline: An opening without an answer goes to another target in time
+  Scenario Outline: An unanswered opening is sent to another target after a timeout
     Given client 1 opened a flow to 198.51.0.1:8443
     When <wait_ms> ms pass
     Then the opening of client 1 was sent <sends> times, to different targets
@@ -71,57 +71,57 @@
       | 100     | 2     |
       | 180     | 3     |
 
-  Scenario: Copies that waited together go to one target
+  Scenario: Copies of an opening that arrive together go to one target
     When client 1 opens a flow to 198.51.0.1:8443
     And client 1 opens a flow to 198.51.0.1:8443
     And client 1 opens a flow to 198.51.0.1:8443
     Then the opening of client 1 was sent 1 times, to different targets
 
-  Scenario: A flow is pinned to the target that its client chose first
+  Scenario: A flow is pinned to the target whose tag its client sends first
     Given client 1 opened a flow to 198.51.0.1:8443
     And 100 ms passed
     When client 1 sends data with the tag of its first target
     And client 1 sends data with the tag of its second target
-    Then both are forwarded to its first target with the tag of that
+    Then both are forwarded to its first target with the tag of that target
 
-  Scenario: A new balancer forwards what it did not see open, and pins it
+  Scenario: A balancer forwards and pins a flow that opened at another one
     When a segment of client 7 to 198.51.0.1:8443 arrives with the tag of near-2
     And a segment of client 7 to 198.51.0.1:8443 arrives with the tag of far-1
     Then it is forwarded to near-2 with the tag of near-2
 
-  Scenario: A segment for a target not known yet waits for it
+  Scenario: A segment waits for a target that is not known yet
     When a segment of client 7 to 198.51.0.1:8443 arrives with the tag of number 99
-    Then it is held, and targets are asked for
+    Then it is queued, and targets are requested
     When the target late of guide with number 99 becomes known
     Then it is forwarded to late with the tag of late
 
-  Scenario: A segment whose target stays unknown is dropped, never reset
+  Scenario: A segment whose target stays unknown is dropped, not reset
     When a segment of client 7 to 198.51.0.1:8443 arrives with the tag of number 99
     And 500 ms pass
     Then it was dropped: held_too_long
     And no reset was sent
 
-  Scenario: What waited at a start is spread over all targets
-    Given a balancer in domain a that knows nothing yet
+  Scenario: Openings that waited during startup are spread over all targets
+    Given a balancer in domain a without targets and routes
     When clients 1 to 8 open flows to 198.51.0.1:8443
-    And it learns targets and routes
+    And it receives targets and routes
     Then each target of guide in domain a has at least 2 of the flows
 
-  Scenario: An opening that waited gives no evidence and is not sent again
-    Given a balancer in domain a that knows nothing yet
+  Scenario: An opening that waited yields no evidence and is not sent again
+    Given a balancer in domain a without targets and routes
     When client 1 opens a flow to 198.51.0.1:8443
-    And it learns targets and routes
+    And it receives targets and routes
     And 300 ms pass
     Then the opening of client 1 was sent 1 times, to different targets
-    And 0 silences were reported
+    And the target was reported unresponsive 0 times
 
-  Scenario: Versions only grow
+  Scenario: An older route table is ignored
     When version 7 without the route guide comes into force
     And version 5 with all routes arrives
     Then version 7 is in force
     And a new flow to 198.51.0.1:8443 is answered by a reset: no_route
 
-  Scenario: A dropped route ends its flows, others go on
+  Scenario: Flows of a dropped route are reset, others continue
     Given client 1 has an open flow to 198.51.0.1:8443
     And client 2 has an open flow to 198.51.0.2:8443
     When version 7 without the route guide comes into force
@@ -135,126 +135,126 @@
     Then the target of client 1 got none of them
     And data of client 1 is forwarded
 
-  Scenario: A target that left the list keeps its flows
+  Scenario: A target that is removed from the list keeps its flows
     Given client 1 has an open flow to 198.51.0.1:8443
-    When the target of client 1 is gone from the list
+    When the target of client 1 is removed from the list
     Then data of client 1 is forwarded
     And no reset was sent
 
-  Scenario Outline: A target that is gone from the list may still be at work
+  Scenario Outline: Data sent again to an unlisted target resets no flow
     Given client 1 has an open flow to 198.51.0.1:8443
-    And the target of client 1 is gone from the list
+    And the target of client 1 is removed from the list
     When client 1 sends the same data <times> times
     Then 0 resets were sent
-    And <silences> silences were reported
+    And the target was reported unresponsive <reports> times
 
     Examples:
-      | times | silences |
-      | 1     | 0        |
-      | 2     | 1        |
-      | 3     | 2        |
-      | 6     | 5        |
+      | times | reports |
+      | 1     | 0       |
+      | 2     | 1       |
+      | 3     | 2       |
+      | 6     | 5       |
 
-  Scenario: A flow to a target that is gone is reset once probes prove it dead
+  Scenario: A flow to an unlisted target is reset once probes find it dead
     Given client 1 has an open flow to 198.51.0.1:8443
-    And the target of client 1 is gone from the list
+    And the target of client 1 is removed from the list
     When client 1 sends the same data 3 times
-    And the target of client 1 is judged dead
+    And the target of client 1 is found dead
     Then the flow of client 1 was reset: target_dead
 
-  Scenario Outline: A newcomer finds flows of targets that were gone before
-    Given the target <number> of guide that left before, as a peer tells
+  Scenario Outline: A new balancer forwards flows to retired targets
+    Given the retired target <number> of guide in a snapshot of a peer
     When a segment of client 7 to 198.51.0.1:8443 arrives with its tag, <after> ms later
     Then it is <outcome>
-    And new flows go elsewhere
+    And new flows go to other targets
 
     Examples:
       | number | after | outcome           |
       | 77     | 100   | forwarded there   |
-      | 77     | 31000 | not known any more |
+      | 77     | 31000 | no longer known   |
 
-  Scenario: A dead target loses its flows at once, a living one keeps them
+  Scenario: Flows of a dead target are reset at once, those of a live one continue
     Given client 1 has an open flow to 198.51.0.1:8443
     And client 2 has an open flow to 198.51.0.2:8443
-    When the target of client 1 is judged dead
+    When the target of client 1 is found dead
     Then the flow of client 1 was reset: target_dead
     And data of client 2 is forwarded
 
-  Scenario Outline: A dead target is asked again before it costs another flow
-    Given the target near-1 was judged dead <ago> ms ago
+  Scenario Outline: A dead target is probed again before another of its flows is reset
+    Given the target near-1 was found dead <ago> ms ago
     When a segment of client 7 to 198.51.0.1:8443 arrives with the tag of near-1
     Then it is <outcome>
 
     Examples:
-      | ago  | outcome                                            |
-      | 100  | answered by a reset: target_dead                   |
-      | 600  | answered by a reset: target_dead                   |
-      | 800  | forwarded to near-1, and its target is asked again |
-      | 4000 | forwarded to near-1, and its target is asked again |
+      | ago  | outcome                                             |
+      | 100  | answered by a reset: target_dead                    |
+      | 600  | answered by a reset: target_dead                    |
+      | 800  | forwarded to near-1, and its target is probed again |
+      | 4000 | forwarded to near-1, and its target is probed again |
 
-  Scenario Outline: A target that started again under its name holds no flow of before
+  Scenario Outline: A target that restarted under its name has no earlier flows
     Given client 1 has an open flow to 198.51.0.1:8443
-    And client 2 asked the target of client 1, and has its answer
-    When the target of client 1 is told to have started <start>
-    Then it is sent again <requests> requests, and <flows> flows are forgotten
+    And client 2 sent the target of client 1 a request and got its answer
+    When the start time of the target of client 1 is reported as <start>
+    Then <requests> requests are sent to it again, and <flows> flows are removed
     And no reset was sent
 
     Examples:
-      | start         | requests | flows |
-      | again         | 1        | 2     |
-      | as before     | 0        | 0     |
-      | at no time    | 0        | 0     |
-
-  Scenario: What was known of an earlier start does not count for the next one
-    Given the target near-1 was judged dead 100 ms ago
-    When near-1 is told to have started again
-    Then near-1 is alive, idle and gets the next flows of guide
+      | start     | requests | flows |
+      | later     | 1        | 2     |
+      | unchanged | 0        | 0     |
+      | unknown   | 0        | 0     |
+
+  Scenario: A restart clears the health and the load of a target
+    Given the target near-1 was found dead 100 ms ago
+    When the start time of near-1 is reported as later
+    Then near-1 is alive, idle and gets new flows of guide
     And data of client 1 for near-1 is forwarded
 
-  Scenario: A flow that opened since a new start goes on
+  Scenario: A flow that opened after a restart continues
     Given client 1 has an open flow to 198.51.0.1:8443
-    When the target of client 1 is told to have started again
-    Then data of client 1 goes where it went
+    When the start time of the target of client 1 is reported as later
+    Then data of client 1 keeps its tag
     And no reset was sent
 
-  Scenario: With all targets dead new flows still go somewhere
-    When all targets of guide are judged dead
+  Scenario: New flows are still forwarded when all targets are dead
+    When all targets of guide are found dead
     And client 3 opens a flow to 198.51.0.1:8443
     Then it is forwarded to some target of guide
 
-  Scenario Outline: Data sent again speaks against a target
+  Scenario Outline: Data sent again is evidence against a target
     Given client 1 has an open flow to 198.51.0.1:8443
     When client 1 sends the same data <times> times
-    Then <silences> silences were reported
+    Then the target was reported unresponsive <reports> times
 
     Examples:
-      | times | silences |
-      | 1     | 0        |
-      | 2     | 1        |
-      | 3     | 2        |
+      | times | reports |
+      | 1     | 0       |
+      | 2     | 1       |
+      | 3     | 2       |
 
-  Scenario: A segment that was overtaken speaks against nobody
+  Scenario: Reordered segments are no evidence against a target
     Given client 1 has an open flow to 198.51.0.1:8443
-    When client 1 sends two segments that change their places on the way
-    Then 0 silences were reported
+    When client 1 sends two segments that arrive out of order
+    Then the target was reported unresponsive 0 times
 
-  Scenario: Silence during an own stall is no evidence
+  Scenario: Missing answers while the balancer is paused are no evidence
     Given client 1 opened a flow to 198.51.0.1:8443
-    When the balancer stands still for 3000 ms
-    Then 0 silences were reported
+    When the balancer is paused for 3000 ms
+    Then the target was reported unresponsive 0 times
 
-  Scenario: Resets fit into the flow
+  Scenario: A reset has the sequence number that the client expects
     Given client 1 has an open flow to 198.51.0.1:8443
-    When the target of client 1 is judged dead
+    When the target of client 1 is found dead
     Then the reset carries the client's last acknowledgement
 
-  Scenario: Random histories never send a flow to two targets once it is open
-    When 300 random histories of 80 events are played
+  Scenario: Random events never send an open flow to two targets
+    When 300 random histories of 80 events are run
     Then no open flow changed its target
-    And no flow to a living target was reset
+    And no flow to a live target was reset
     And no segment went to a target of another service
 
-  Scenario Outline: Targets whose tags collide are told apart
+  Scenario Outline: Targets with colliding tags are distinguished
     Given two targets of <first> and <second> whose tags collide in variant 0
     Then flows of the first are found again: <found>
 
@@ -263,6 +263,6 @@
       | guide | tiles  | by their service |
       | guide | guide  | by variant 1     |
 
-  Scenario: Two targets of other services with one tag are never guessed
+  Scenario: A tag of two targets is not resolved for a third service
     Given two targets of guide and tiles whose tags collide in variant 0
     Then neither is found for a route to a third service
--- a/tests/features/decisions/link_monitor.feature
+++ b/tests/features/decisions/link_monitor.feature
@@ -1,9 +1,9 @@
-Feature: A busy own link costs no target a flow
-  Small balancers carry uploads of many clients; what else they send waits.
+Feature: A busy local link resets no flow of a live target
+  Guards against finding targets dead because probes queue behind uploads.
 
-  Scenario Outline: The own link is busy when it is nearly full, and a while after
-    Given an own link of <rate> Mbit/s
-    When packets of <size> bytes come each <gap> ms for <lasts> ms, and <later> ms pass
+  Scenario Outline: The local link is busy when it is nearly full, and shortly after
+    Given a local link of <rate> Mbit/s
+    When packets of <size> bytes arrive every <gap> ms for <lasts> ms, and <later> ms pass
     Then the link is <state>
 
     Examples:
@@ -17,12 +17,12 @@
       | 2    | 1232 | 1   | 4     | 0     | busy  |
       | 2    | 200  | 1   | 4     | 0     | free  |
 
-  Scenario: What is received and what is sent fill a link each by itself
-    Given an own link of 2 Mbit/s
-    When packets of 1232 bytes come and go each 10 ms for 1000 ms
+  Scenario: Received and sent packets fill the link independently
+    Given a local link of 2 Mbit/s
+    When packets of 1232 bytes arrive and leave every 10 ms for 1000 ms
     Then the link is free
 
-  Scenario Outline: Silence over a busy link is no proof
+  Scenario Outline: Missing answers over a busy link prove nothing
     When evidence on a target comes in this order: <events>
     Then <probes> probes were sent, and the target is <condition>
 
@@ -47,16 +47,16 @@
       | silent, ticks x3, probe silent x3, link busy, probe unproven        | 4 | suspected |
       | silent, ticks x3, probe silent x4, link busy, wait 800, tick, probe unproven | 5 | dead |
 
-  Scenario: A target that is found dead is no longer proven so once the link is busy
-    Given a target that was found dead, and a link that is busy since
-    When the target is silent to a probe 800 ms later
-    Then nothing proves that it is dead
+  Scenario: The proof that a target is dead expires while the link is busy
+    Given a target that was found dead before the link became busy
+    When the target does not answer a probe 800 ms later
+    Then there is no proof that it is dead
 
-  Scenario Outline: An upload burst resets no flow of a target that lives
+  Scenario Outline: An upload burst resets no flow of a live target
     Given a balancer on a link of 2 Mbit/s with open flows to two targets
-    When uploads fill the link for 1000 ms, data is sent again, and probes stay <probes>
+    When uploads fill the link for 1000 ms, data is sent again, and probes are <probes>
     Then <early> flows were reset, and new flows go to <chosen>
-    When the link is free and probes stay <probes> for 1500 ms
+    When the link is free and probes are <probes> for 1500 ms
     Then <late> flows were reset, and new flows go to <later>
 
     Examples:
--- a/tests/features/decisions/slow_start.feature
+++ b/tests/features/decisions/slow_start.feature
@@ -1,15 +1,15 @@
-Feature: Cold targets get what they bear, summed over all balancers
-  A service states how many requests a second a target bears while it is cold.
+Feature: Targets in slow start get at most their stated rate from all balancers
+  Guards against overloading targets that have just started.
 
-  Scenario Outline: No cold target gets more than the rule allows in any second
-    Given <balancers> balancers that send to <cold> targets that turn cold
-    And each of these bears <rate> requests a second, and the balancers' views <views>
-    When they place flows for 6 s
-    Then no cold target gets more than <rate> times 1.5, and 5 more, in any second
+  Scenario Outline: No target in slow start exceeds its rate limit in any second
+    Given <balancers> balancers, and <share> of the targets in slow start
+    And a rate of <rate> requests a second for each of these, and balancer views: <views>
+    When the balancers place flows for 6 s
+    Then no target in slow start gets more than <rate> times 1.5 plus 5 requests in any second
     And at least <used> of the stated rate is used
 
     Examples:
-      | balancers | cold    | rate | views  | used |
+      | balancers | share   | rate | views  | used |
       | 9         | a third | 2    | alike  | 0.10 |
       | 99        | a third | 2    | differ | 0.05 |
       | 399       | a third | 2    | differ | 0.01 |
@@ -21,26 +21,26 @@
       | 99        | all     | 10   | differ | 0.40 |
       | 399       | all     | 10   | differ | 0.20 |
 
-  Scenario Outline: What is not sent in a quiet time does not come at once after it
-    Given <balancers> balancers whose targets turned cold <quiet_ms> ms ago, without any flow since
-    When each sends what it may within a second
-    Then a target that bears 10 requests a second gets at most 20
+  Scenario Outline: Unused rate of an idle time is not used at once afterwards
+    Given <balancers> balancers whose targets entered slow start <idle_ms> ms ago, without any flow since
+    When each balancer sends as many flows as allowed in a second
+    Then a target with a rate of 10 requests a second gets at most 20 flows
 
     Examples:
-      | balancers | quiet_ms |
-      | 1         | 5000     |
-      | 40        | 1000     |
-      | 40        | 5000     |
-      | 400       | 5000     |
-      | 400       | 60000    |
+      | balancers | idle_ms |
+      | 1         | 5000    |
+      | 40        | 1000    |
+      | 40        | 5000    |
+      | 400       | 5000    |
+      | 400       | 60000   |
 
-  Scenario: Without a limit the rule would be broken
-    Given 99 balancers that send to a third targets that turn cold
-    And each of these bears 2 requests a second, and the balancers' views alike
-    When they place flows for 6 s without a limit
-    Then some cold target gets more than the rule allows
+  Scenario: Without a limit the rate is exceeded
+    Given 99 balancers, and a third of the targets in slow start
+    And a rate of 2 requests a second for each of these, and balancer views: alike
+    When the balancers place flows for 6 s without a limit
+    Then some target in slow start exceeds its rate limit
 
-  Scenario Outline: One balancer's cold targets
+  Scenario Outline: One balancer limits its flows to targets in slow start
     Given a balancer in domain a with the targets
       | target | service | domain | number |
       | warm-1 | guide   | a      | 11     |
@@ -50,9 +50,9 @@
       | route | address         | services |
       | guide | 198.51.0.1:8443 | guide    |
       | tiles | 198.51.0.2:8443 | tiles    |
-    And targets that are cold for 2000 ms bear <rate> requests a second
-    And the balancer knows of <balancers> balancers
-    When cold-1 and cold-2 turn cold
+    And targets in slow start for 2000 ms take <rate> requests a second
+    And a fleet of <balancers> balancers
+    When cold-1 and cold-2 enter slow start
     And <wait_ms> ms pass
     And clients 1 to 20 open flows to <address>
     Then <count> flows go to <target>, the others <others>
@@ -67,31 +67,31 @@
       | 10   | 99        | 200     | 198.51.0.2:8443 | 0     | cold-2 | are refused  |
       | 10   | 99        | 2100    | 198.51.0.2:8443 | 20    | cold-2 | are none     |
 
-  Scenario: Copies of an opening count as well
+  Scenario: Copies of an opening count against the rate
     Given a balancer in domain a with the targets
       | target | service | domain | number |
       | cold-1 | guide   | a      | 12     |
     And the routes
       | route | address         | services |
       | guide | 198.51.0.1:8443 | guide    |
-    And targets that are cold for 2000 ms bear 2 requests a second
-    And the balancer knows of 1 balancers
-    When cold-1 turns cold
+    And targets in slow start for 2000 ms take 2 requests a second
+    And a fleet of 1 balancers
+    When cold-1 enters slow start
     And 700 ms pass
     And client 1 opens a flow to 198.51.0.1:8443
     And 200 ms pass
     And client 1 opens a flow to 198.51.0.1:8443
     Then the opening of client 1 was sent 1 times, to different targets
 
-  Scenario: Targets of a domain that is taken back count as cold
+  Scenario: Targets of a domain whose evacuation ends enter slow start
     Given a balancer in domain a with the targets
       | target | service | domain | number |
       | back-1 | guide   | a      | 12     |
     And the routes
       | route | address         | services |
       | guide | 198.51.0.1:8443 | guide    |
-    And targets that are cold for 2000 ms bear 10 requests a second
-    And the balancer knows of 99 balancers
+    And targets in slow start for 2000 ms take 10 requests a second
+    And a fleet of 99 balancers
     And the domains a are evacuated
     When the domains a are evacuated no more
     And clients 1 to 20 open flows to 198.51.0.1:8443
--- a/tests/features/steps/domain_start_steps.py
+++ b/tests/features/steps/domain_start_steps.py
@@ -1,4 +1,4 @@
-"""Steps on a domain whose members all start at once."""
+"""Steps for a failure domain whose members all start at once."""
 
 from behave import given
 from behave import then
@@ -12,7 +12,7 @@
 RUN_MS = 15_000
 FAULTS = {
     'is slow': 'slow',
-    'turns a third away': 'turns a third away',
+    'rejects a third of calls': 'turns a third away',
     'stops halfway': 'stops halfway',
 }
 
--- a/tests/features/steps/exploration_steps.py
+++ b/tests/features/steps/exploration_steps.py
@@ -1,4 +1,4 @@
-"""Steps that explore all interleavings of small worlds."""
+"""Steps that explore all interleavings of events in small systems."""
 
 from copy import deepcopy
 
@@ -33,7 +33,7 @@
 
 @define
 class System:
-    """Two homes, what is under way, what ran, and what callers know.
+    """Two homes, their packets and requests, and what callers received.
 
     ``packets`` are (kind, caller); each caller's token names the home and
     its incarnation.  ``at_target`` are (home, incarnation, id, caller).
@@ -51,7 +51,7 @@
     cancels: int = 1
 
     def key(self):
-        """Return what tells this world from others."""
+        """Return a key that identifies this state."""
         homes = tuple(
             (
                 self.incarnations[name],
@@ -107,7 +107,7 @@
 
 
 def feed(system, home, event):
-    """Let a home decide, and put its actions into the world."""
+    """Decide on an event at a home and apply its actions."""
     state = system.states[home]
     for action in requests.decide(state, event):
         match action:
@@ -123,12 +123,12 @@
 
 
 def deliver(system, packet):
-    """Bring a packet to the home that its token names, or refuse it."""
+    """Deliver a packet to the home that its token names, or refuse it."""
     kind, caller = packet
     system.packets.remove(packet)
     home, incarnation, nonce = system.tokens[caller]
     if system.incarnations[home] != incarnation:
-        # The caller learns that its home is gone; its request is in doubt.
+        # The home has restarted, so the request may have run.
         system.verdicts.setdefault(caller, set()).add('may_have_run')
         return
     if kind == 'cancel':
@@ -141,7 +141,7 @@
 
 
 def end_at_target(system, item, how):
-    """Let a target answer, refuse or lose one request."""
+    """End a request at its target: answered, refused or lost."""
     system.at_target.remove(item)
     home, incarnation, request_id, caller = item
     if how in ('ran', 'ran, answer lost'):
@@ -174,7 +174,7 @@
 
 
 def steps(system):
-    """Return every step that may come next."""
+    """Return all steps that are possible next."""
     found = []
     for packet in sorted(set(system.packets)):
         found.append((deliver, packet))
@@ -202,7 +202,7 @@
 
 
 def explore(first, find_steps, check):
-    """Visit every world that steps lead to; return how many there are."""
+    """Visit all states that steps lead to and return their number."""
     seen = {first.key()}
     waiting = [first]
     while waiting:
@@ -224,10 +224,10 @@
 
 
 @then(
-    'no request ran twice and no verdict was wrong in more than {least:d} '
-    'states'
+    'in more than {least:d} states no request ran twice and no verdict was '
+    'wrong'
 )
-@then('the two teams were never served at once in more than {least:d} states')
+@then('in more than {least:d} states the two teams were never served at once')
 def enough_states(context, least):
     print(f'{context.states} states were explored.')
     assert context.states > least, context.states
@@ -260,8 +260,9 @@
 class Move:
     """An address that moves from firm-a to firm-b.
 
-    ``log`` is what the store was given; balancers get it in any order.
-    ``reported`` is what each balancer's domain last reported.
+    ``log`` holds the objects written to the store, in order; balancers
+    receive them in any order.  ``received`` has the indexes that each balancer
+    received, ``reported`` the version that its domain reported last.
     """
 
     log: list
@@ -269,7 +270,7 @@
     reported: dict
 
     def key(self):
-        """Return what tells this world from others."""
+        """Return a key that identifies this state."""
         received = tuple(tuple(sorted(one)) for one in self.received.values())
         return (len(self.log), received, tuple(self.reported.values()))
 
@@ -315,7 +316,7 @@
 
 
 def report(system, name):
-    """Report the highest version up to which nothing is missing."""
+    """Report the highest version up to which no object is missing."""
     index = 0
     while index in system.received[name]:
         index += 1
@@ -323,7 +324,7 @@
 
 
 def write_claims(system):
-    """Let a lease holder that holds all write the claims."""
+    """Write the claims as a lease holder that received all objects."""
     store = store_of(system, range(len(system.log)))
     view = ViewBuilder().build(store)
     key = f'claim/{ADDRESS}'
--- a/tests/features/steps/forwarding_steps.py
+++ b/tests/features/steps/forwarding_steps.py
@@ -1,4 +1,4 @@
-"""Steps on forwarding: a balancer's decisions on segments."""
+"""Steps for the decisions of a balancer on segments."""
 
 import random
 
@@ -41,7 +41,7 @@
 
 
 def make_entry(name, service, domain='a', number=None, draining=False):
-    """Return a target; its endpoint follows from its number."""
+    """Return a target with an endpoint derived from its number."""
     number = number or abs(hash(name)) % 2**31
     return TargetEntry(
         name=name,
@@ -56,7 +56,7 @@
 
 @define
 class Balancer:
-    """A state, its time, and all that it was told to do."""
+    """A forwarding state, its time and the actions decided so far."""
 
     state: ForwardingState
     now_ms: int = START_MS
@@ -65,20 +65,20 @@
     segments: dict = Factory(dict)
 
     def feed(self, event):
-        """Decide on an event and keep the actions."""
+        """Decide on an event and record the actions."""
         self.last = forwarding.decide(self.state, event)
         self.actions += self.last
         return self.last
 
     def pass_time(self, interval_ms):
-        """Let time pass in ticks."""
+        """Advance the time in ticks."""
         until_ms = self.now_ms + interval_ms
         while self.now_ms < until_ms:
             self.now_ms = min(until_ms, self.now_ms + TICK_MS)
             self.feed(Tick(self.now_ms))
 
     def send(self, client, address, tag=0, opens=False, **changes):
-        """Let a client send a segment."""
+        """Deliver a segment of a client."""
         segment = Segment(
             flow=f'{client}>{address}'.encode(),
             client=Endpoint('192.0.2.1', client),
@@ -98,7 +98,7 @@
         return self.feed(flows.SegmentArrived(segment, self.now_ms))
 
     def put(self, entry):
-        """Make a target known."""
+        """Add a target."""
         self.feed(flows.TargetPut(entry, self.now_ms))
         return self.feed(flows.TargetsSettled(self.now_ms))
 
@@ -111,7 +111,7 @@
         return [one for one in self.actions if isinstance(one, kind)]
 
     def openings(self, client):
-        """Return where the opening of a client went."""
+        """Return the targets to which the opening of a client was sent."""
         return [
             one.target.name
             for one in self.actions_of(flows.Forward)
@@ -125,7 +125,7 @@
 
 
 def make_balancer(domain):
-    """Return a balancer that knows nothing."""
+    """Return a balancer without targets and routes."""
     state = ForwardingState(domain, FLOW_MAX_AGE_MS)
     balancer = Balancer(state)
     balancer.feed(Tick(START_MS))
@@ -161,7 +161,7 @@
 
 
 def read_regions(row):
-    """Return the regions that a row names, none if it has none."""
+    """Return the regions of a row, empty if it has none."""
     if 'regions' not in row.headings or row['regions'] == 'none':
         return frozenset()
     return frozenset(row['regions'].split())
@@ -187,7 +187,7 @@
     context.balancer.feed(flows.RoutesChanged(table, START_MS))
 
 
-@given('a balancer in domain a that knows nothing yet')
+@given('a balancer in domain a without targets and routes')
 def empty_balancer(context):
     context.balancer = make_balancer('a')
 
@@ -213,7 +213,7 @@
 
 
 def send_data(balancer, client, address, **changes):
-    """Let a client send new data on its flow."""
+    """Deliver new data of a client on its flow."""
     flow = balancer.flow(client)
     sequence = max(1, flow.sent)
     fields = {'sequence': sequence, 'length_bytes': CLIENT_DATA_BYTES}
@@ -227,7 +227,7 @@
     context.balancer.pass_time(interval)
 
 
-@when('the balancer stands still for {interval:d} ms')
+@when('the balancer is paused for {interval:d} ms')
 def balancer_paused(context, interval):
     context.balancer.now_ms += interval
     context.balancer.feed(Tick(context.balancer.now_ms))
@@ -278,7 +278,7 @@
     assert found.target.service == service, found
 
 
-@then('it is held, and targets are asked for')
+@then('it is queued, and targets are requested')
 def segment_pending(context):
     balancer = context.balancer
     assert not forwards(balancer.last)
@@ -311,7 +311,7 @@
     assert len(found) == count, found
 
 
-@then('{count:d} silences were reported')
+@then('the target was reported unresponsive {count:d} times')
 def unresponsive_reported(context, count):
     found = context.balancer.actions_of(TargetUnresponsive)
     assert len(found) == count, found
@@ -358,7 +358,7 @@
     context.__dict__.setdefault('sent', []).extend(forwards(found))
 
 
-@then('both are forwarded to its first target with the tag of that')
+@then('both are forwarded to its first target with the tag of that target')
 def both_to_first(context):
     first = context.balancer.openings(1)[0]
     assert [one.target.name for one in context.sent] == [first, first]
@@ -373,7 +373,7 @@
     context.balancer.put(entry)
 
 
-@when('it learns targets and routes')
+@when('it receives targets and routes')
 def learns_all(context):
     balancer = context.balancer
     balancer.feed(
@@ -440,14 +440,14 @@
     context.balancer.put(evolve(entry, draining=True))
 
 
-@step('the target of client 1 is gone from the list')
+@step('the target of client 1 is removed from the list')
 def target_removed(context):
     balancer = context.balancer
     name = balancer.flow(1).target
     balancer.feed(flows.TargetRemoved(name, balancer.now_ms))
 
 
-@given('the target {number:d} of {service} that left before, as a peer tells')
+@given('the retired target {number:d} of {service} in a snapshot of a peer')
 def retired_target(context, number, service):
     balancer = context.balancer
     entry = make_entry('former', service, number=number)
@@ -470,13 +470,13 @@
     assert found.target.number == context.number, found
 
 
-@then('it is not known any more')
+@then('it is no longer known')
 def tag_unknown(context):
     kinds = [type(one) for one in context.balancer.last]
     assert kinds == [flows.TargetsNeeded], kinds
 
 
-@then('new flows go elsewhere')
+@then('new flows go to other targets')
 def new_flows_elsewhere(context):
     balancer = context.balancer
     for client in range(100, 130):
@@ -499,7 +499,7 @@
         send_data(balancer, 1, '198.51.0.1:8443', sequence=sequence)
 
 
-@when('client 1 sends two segments that change their places on the way')
+@when('client 1 sends two segments that arrive out of order')
 def segments_reordered(context):
     balancer = context.balancer
     first = balancer.flow(1).sent
@@ -509,7 +509,7 @@
 
 
 def report_health(balancer, name, is_dead=True):
-    """Judge a target dead or alive, by evidence and probes."""
+    """Report a target dead or alive, after evidence and probes."""
     now_ms = balancer.now_ms
     result = ProbeResult.SILENT if is_dead else ProbeResult.ANSWERED
     events = [TargetUnresponsive(name, now_ms)]
@@ -526,13 +526,13 @@
     )
 
 
-@given('the target {name} was judged dead {interval:d} ms ago')
+@given('the target {name} was found dead {interval:d} ms ago')
 def found_dead_ago(context, name, interval):
     report_health(context.balancer, name)
     context.balancer.pass_time(interval)
 
 
-@then('it is forwarded to {target}, and its target is asked again')
+@then('it is forwarded to {target}, and its target is probed again')
 def forwarded_and_probed(context, target):
     balancer = context.balancer
     (found,) = forwards(balancer.last)
@@ -543,19 +543,19 @@
     assert probes == [target_health.SendProbe(target, now_ms)], probes
 
 
-@when('the target of client 1 is judged dead')
+@when('the target of client 1 is found dead')
 def target_found_dead(context):
     report_health(context.balancer, context.balancer.flow(1).target)
 
 
-@when('all targets of {service} are judged dead')
+@when('all targets of {service} are found dead')
 def all_found_dead(context, service):
     for entry in context.entries.values():
         if entry.service == service:
             report_health(context.balancer, entry.name)
 
 
-@when('{count:d} random histories of {length:d} events are played')
+@when('{count:d} random histories of {length:d} events are run')
 def random_histories(context, count, length):
     context.histories = []
     for seed in range(count):
@@ -566,7 +566,7 @@
 
 
 class History:
-    """A balancer under random events; notes what must not happen."""
+    """A balancer under random events, and the violations found."""
 
     def __init__(self, context, rng):
         self.rng = rng
@@ -587,7 +587,7 @@
         self.balancer.feed(flows.RoutesChanged(table, START_MS))
 
     def step(self):
-        """Let one random thing happen."""
+        """Apply one random event."""
         kind = self.rng.choice(
             ('open', 'data', 'data', 'data', 'again', 'time', 'health')
         )
@@ -663,7 +663,7 @@
     assert not found, found[:3]
 
 
-@then('no flow to a living target was reset')
+@then('no flow to a live target was reset')
 def none_reset(context):
     found = [
         one for history in context.histories for one in history.reset_alive
@@ -688,7 +688,7 @@
     table = flow_tags.TagTable()
     for entry in entries:
         table.add(entry)
-    # A true collision is rare; bring one about in the table itself.
+    # Real collisions are rare, so one is put into the table.
     one, other = (flow_tags.make_tag(number, 0) for number in (1, 2))
     table.by_tag[one] = table.by_tag[other] = ('first', 'second')
     context.tags = table
--- a/tests/features/steps/link_monitor_steps.py
+++ b/tests/features/steps/link_monitor_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the own link: when it is busy, and what silence is worth then."""
+"""Steps for the load of the local link and the evidence under load."""
 
 from behave import given
 from behave import then
@@ -22,21 +22,21 @@
 
 ADDRESS = '198.51.0.1:8443'
 UPLOAD_BYTES = 1_232
-# One packet of an upload each 5 ms is all that 2 Mbit/s carry.
+# One packet every 5 ms fills a link of 2 Mbit/s.
 UPLOAD_GAP_MS = 5
 PROBE_TIMEOUT_MS = 100
 RESEND_AFTER_MS = 400
 TARGET = 'one'
 
 
-@given('an own link of {rate:d} Mbit/s')
+@given('a local link of {rate:d} Mbit/s')
 def local_link(context, rate):
     context.link = LinkMonitor(rate)
     context.now_ms = START_MS
 
 
-@when('packets of {size:d} bytes come each {gap:d} ms for {lasts:d} ms, and '
-      '{later:d} ms pass')  # fmt: skip
+@when('packets of {size:d} bytes arrive every {gap:d} ms for {lasts:d} ms, '
+      'and {later:d} ms pass')  # fmt: skip
 def packets_received(context, size, gap, lasts, later):
     for _ in range(lasts // gap):
         context.now_ms += gap
@@ -44,7 +44,8 @@
     context.now_ms += later
 
 
-@when('packets of {size:d} bytes come and go each {gap:d} ms for {lasts:d} ms')
+@when('packets of {size:d} bytes arrive and leave every {gap:d} ms for '
+      '{lasts:d} ms')  # fmt: skip
 def packets_both_ways(context, size, gap, lasts):
     for _ in range(lasts // gap):
         context.now_ms += gap
@@ -57,7 +58,7 @@
     assert context.link.is_busy(context.now_ms) == (state == 'busy')
 
 
-@given('a target that was found dead, and a link that is busy since')
+@given('a target that was found dead before the link became busy')
 def found_dead(context):
     health = context.health = target_health.TargetHealth()
     silent = target_health.ProbeResult.SILENT
@@ -71,7 +72,7 @@
     target_health.decide(health, target_health.LinkStateChanged(True))
 
 
-@when('the target is silent to a probe {later:d} ms later')
+@when('the target does not answer a probe {later:d} ms later')
 def probe_unanswered(context, later):
     context.now_ms = START_MS + later
     target_health.decide(context.health, Tick(context.now_ms))
@@ -82,14 +83,14 @@
     target_health.decide(context.health, ended)
 
 
-@then('nothing proves that it is dead')
+@then('there is no proof that it is dead')
 def not_proven(context):
     assert context.health.is_dead(TARGET)
     assert not context.health.is_proven_dead(TARGET, context.now_ms)
 
 
 class LinkedBalancer(Balancer):
-    """A balancer with its link, and a target that may answer no probe."""
+    """A balancer with its link and the results of its probes."""
 
     def __init__(self, rate, state):
         super().__init__(state)
@@ -98,7 +99,7 @@
         self.result = target_health.ProbeResult.SILENT
 
     def decide_health(self, event):
-        """Tell the evidence on targets of an event, and obey."""
+        """Decide on the health of targets and execute the actions."""
         self._execute(target_health.decide(self.state.health, event))
 
     def _execute(self, actions):
@@ -116,7 +117,7 @@
                     self.feed(change)
 
     def feed(self, event):
-        """Decide on an event; evidence goes where targets are judged."""
+        """Decide on an event and pass on its evidence on targets."""
         actions = super().feed(event)
         for action in actions:
             match action:
@@ -127,7 +128,7 @@
         return actions
 
     def run(self, duration_ms, is_uploading):
-        """Let time pass, with uploads that fill the link or without."""
+        """Advance the time, with or without uploads that fill the link."""
         until_ms = self.now_ms + duration_ms
         while self.now_ms < until_ms:
             for _ in range(TICK_MS // UPLOAD_GAP_MS):
@@ -173,7 +174,7 @@
 
 
 def make_route():
-    """Return a route to the service of both targets."""
+    """Return a route to the service of the targets."""
     return Route(
         name='guide',
         address=parse_endpoint(ADDRESS),
@@ -185,7 +186,7 @@
 
 
 @when('uploads fill the link for {lasts:d} ms, data is sent again, and probes '
-      'stay {result}')  # fmt: skip
+      'are {result}')  # fmt: skip
 def uploads_fill(context, lasts, result):
     balancer = context.balancer
     balancer.result = target_health.ProbeResult(result)
@@ -195,7 +196,7 @@
     balancer.run(lasts - RESEND_AFTER_MS, True)
 
 
-@when('the link is free and probes stay {result} for {lasts:d} ms')
+@when('the link is free and probes are {result} for {lasts:d} ms')
 def link_free(context, result, lasts):
     context.balancer.run(lasts, False)
 
--- a/tests/features/steps/overflow_steps.py
+++ b/tests/features/steps/overflow_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the overflow of a failure domain."""
+"""Steps for the overflow of a failure domain."""
 
 from behave import then
 from behave import when
@@ -14,7 +14,7 @@
 def observe(
     context, loads, interval_ms, is_isolated=False, has_remote_progress=False
 ):
-    """Let a domain see the same loads for some time."""
+    """Observe the same loads for some time."""
     if 'overflow' not in context:
         context.overflow = overflow.OverflowState()
         context.now_ms = 10_000
@@ -29,30 +29,31 @@
 
 
 @when(
-    'a domain sees for {interval:d} ms: demand {demand:f}, near {near:d}, '
-    'far {far:d} of which {alive:d} answer, isolated {isolated}'
+    'a domain observes for {interval:d} ms: demand {demand:f}, '
+    'local {local:d}, remote {remote:d} of which {live:d} respond, '
+    'isolated {isolated}'
 )
-def domain_observes(context, interval, demand, near, far, alive, isolated):
-    load = overflow.DomainLoad(demand, near, far, alive)
+def domain_observes(context, interval, demand, local, remote, live, isolated):
+    load = overflow.DomainLoad(demand, local, remote, live)
     observe(context, (load,), interval, isolated == 'yes')
 
 
-@when('a domain that is short is cut off for {cut:d} ms, then healed for '
+@when('an overloaded domain is cut off for {cut:d} ms, then healed for '
       '{healed:d} ms')  # fmt: skip
 def cut_then_healed(context, cut, healed):
     observe(context, (CONNECTED,), STEP_MS)
-    # The first look that shows the cut begins it.
+    # The partition begins at the first observation.
     observe(context, (CUT_OFF,), cut + STEP_MS)
     if healed:
         observe(context, (CONNECTED,), healed + STEP_MS)
 
 
-@when('a domain sees two services, one cut off and short, one not')
+@when('a domain observes two services, one of them cut off and overloaded')
 def two_services(context):
     observe(context, (CUT_OFF, LOW_LOAD), 2_000)
 
 
-@when('a domain that is short gets answers of other targets far away')
+@when('an overloaded domain gets answers of other remote targets')
 def remote_answers(context):
     observe(context, (CUT_OFF, LOW_LOAD), 2_000, has_remote_progress=True)
 
--- a/tests/features/steps/placement_steps.py
+++ b/tests/features/steps/placement_steps.py
@@ -1,4 +1,4 @@
-"""Steps on placement, capacity and admission."""
+"""Steps for placement, capacity and admission."""
 
 import random
 
@@ -59,7 +59,7 @@
     assert loaded <= 2 * base, (loaded, base)
 
 
-@then('more than a tenth of what may wait was run at "{name}"')
+@then('more than a tenth of the may-wait requests were run at "{name}"')
 def may_wait_floor(context, name):
     found = context.figures[name][OwnerPolicy.name]['may_wait_share']
     assert found > 0.1, found
@@ -190,7 +190,7 @@
     assert len(context.pool.usable(11)) == count
 
 
-@then('a choice looks at no more than {count:d} targets')
+@then('a choice scores no more than {count:d} targets')
 def choice_cost(context, count):
     scored = []
     pool = context.pool
--- a/tests/features/steps/proof_steps.py
+++ b/tests/features/steps/proof_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what proves: that a target has ended, that a list is fresh."""
+"""Steps for evidence that a target ended or that a list is current."""
 
 import asyncio
 import time
@@ -26,14 +26,14 @@
 from tests.features.steps.forwarding_steps import make_entry
 
 NOW_MS = 1_000_000
-# An entry that went without a word is doubted for that long.
+# Longer than a missing entry is kept.
 MISSING_MS = 2_600
 # Longer than a probe and its request may take.
 BLOCKED_S = 0.3
 
 
 def make_path():
-    """Return a path of packets that sends none."""
+    """Return a packet path that sends no packets."""
     options = SimpleNamespace(
         name='me',
         failure_domain='a',
@@ -49,7 +49,7 @@
 
 
 def apply_update(context, update):
-    """Let the store tell of targets."""
+    """Apply an update of targets from the store."""
     path = context.path
     feed_update = FeedUpdate(TARGETS, update)
     path.execute(
@@ -110,7 +110,7 @@
 
 
 async def serve(behavior, reader, writer):
-    """Answer one probe, or don't."""
+    """Handle one probe as ``behavior`` says."""
     await reader.readuntil(b'\r\n\r\n')
     if behavior == 'breaks off':
         writer.close()
@@ -124,7 +124,7 @@
 
 
 async def probe_one(behavior):
-    """Return how a probe of a target ends that does something."""
+    """Return the result of a probe of a target with ``behavior``."""
     server = await asyncio.start_server(
         lambda reader, writer: serve(behavior, reader, writer), '127.0.0.1', 0
     )
--- a/tests/features/steps/restart_steps.py
+++ b/tests/features/steps/restart_steps.py
@@ -1,4 +1,4 @@
-"""Steps on targets that start again under the name that they had."""
+"""Steps for targets that restart under the same name."""
 
 from behave import given
 from behave import then
@@ -13,24 +13,24 @@
 ADDRESS = '198.51.0.1:8443'
 FIRST_START_MS = 1_000_000
 STARTS = {
-    'again': FIRST_START_MS + 500,
-    'as before': FIRST_START_MS,
-    'at no time': 0,
+    'later': FIRST_START_MS + 500,
+    'unchanged': FIRST_START_MS,
+    'unknown': 0,
 }
 NOW_MS = 5_000
-# Of a client that has got an answer.
+# Acknowledgement number of a client that received an answer.
 ANSWERED = 900
 
 
 def send_start_time(balancer, name, started_wall_ms):
-    """Tell a balancer when a target started."""
+    """Send a balancer the start time of a target."""
     known = balancer.state.tags.entries[name]
     entry = evolve(known, started_wall_ms=started_wall_ms)
     balancer.feed(flows.TargetPut(entry, balancer.now_ms))
 
 
-@given('client {client:d} asked the target of client {other:d}, and has its '
-       'answer')  # fmt: skip
+@given('client {client:d} sent the target of client {other:d} a request '
+       'and got its answer')  # fmt: skip
 def open_flow_answered(context, client, other):
     balancer = context.balancer
     tag = balancer.flow(other).tag
@@ -39,7 +39,8 @@
     balancer.send(client, ADDRESS, tag, acknowledgement=ANSWERED)
 
 
-@when('the target of client {client:d} is told to have started {start}')
+@when('the start time of the target of client {client:d} is reported as '
+      '{start}')  # fmt: skip
 def target_started(context, client, start):
     balancer = context.balancer
     name = balancer.flow(client).target
@@ -48,14 +49,14 @@
     context.actions = list(balancer.last)
 
 
-@when('{name} is told to have started {start}')
+@when('the start time of {name} is reported as {start}')
 def named_started(context, name, start):
     send_start_time(context.balancer, name, FIRST_START_MS)
     send_start_time(context.balancer, name, STARTS[start])
 
 
-@then('it is sent again {requests:d} requests, and {count:d} flows are '
-      'forgotten')  # fmt: skip
+@then('{requests:d} requests are sent to it again, and {count:d} flows are '
+      'removed')  # fmt: skip
 def sent_again(context, requests, count):
     sent = forwards(context.actions)
     assert len(sent) == requests, sent
@@ -65,7 +66,7 @@
     assert left == len(kept) - count, left
 
 
-@then('{name} is alive, idle and gets the next flows of guide')
+@then('{name} is alive, idle and gets new flows of guide')
 def alive_and_idle(context, name):
     balancer = context.balancer
     state = balancer.state
@@ -86,7 +87,7 @@
     assert sent.target.name == name, sent
 
 
-@then('data of client {client:d} goes where it went')
+@then('data of client {client:d} keeps its tag')
 def data_goes_on(context, client):
     balancer = context.balancer
     tag = balancer.segments[client].tag
--- a/tests/features/steps/slow_start_steps.py
+++ b/tests/features/steps/slow_start_steps.py
@@ -1,4 +1,4 @@
-"""Steps on cold targets with a stated rate, and on regions of routes."""
+"""Steps for the slow start of targets and for the regions of routes."""
 
 from behave import given
 from behave import step
@@ -16,36 +16,36 @@
 SLOW_START_MS = 2_000
 
 
-@given('{balancers:d} balancers that send to {cold} targets that turn cold')
-def balancers_of_cold(context, balancers, cold):
-    context.case = Case(balancers=balancers, all_cold=cold == 'all')
+@given('{balancers:d} balancers, and {share} of the targets in slow start')
+def balancers_and_share(context, balancers, share):
+    context.case = Case(balancers=balancers, all_cold=share == 'all')
 
 
-@given("each of these bears {rate:d} requests a second, and the balancers' "
-       'views {views}')  # fmt: skip
+@given('a rate of {rate:d} requests a second for each of these, and '
+       'balancer views: {views}')  # fmt: skip
 def stated_rate(context, rate, views):
     context.case = evolve(context.case, per_s=float(rate), views=views)
 
 
-@when('they place flows for 6 s')
+@when('the balancers place flows for 6 s')
 def place_flows(context):
     context.result = run(context.case)
 
 
-@when('they place flows for 6 s without a limit')
+@when('the balancers place flows for 6 s without a limit')
 def place_without_limit(context):
     context.case = evolve(context.case, way='no limit')
     context.result = run(context.case)
 
 
-@then('no cold target gets more than {rate:d} times 1.5, and 5 more, in any '
-      'second')  # fmt: skip
+@then('no target in slow start gets more than {rate:d} times 1.5 plus 5 '
+      'requests in any second')  # fmt: skip
 def within_rule(context, rate):
     assert context.case.allowed() == rate * 1.5 + 5
     assert context.result.most <= context.case.allowed(), context.result
 
 
-@then('some cold target gets more than the rule allows')
+@then('some target in slow start exceeds its rate limit')
 def exceeds_rule(context):
     assert context.result.most > context.case.allowed(), context.result
 
@@ -56,19 +56,19 @@
     assert found >= used, found
 
 
-@given('{balancers:d} balancers whose targets turned cold {quiet:d} ms ago, '
-       'without any flow since')  # fmt: skip
-def idle_balancers(context, balancers, quiet):
-    warm_up = WarmUp(10.0, 2 * quiet)
+@given('{balancers:d} balancers whose targets entered slow start {idle:d} ms '
+       'ago, without any flow since')  # fmt: skip
+def idle_balancers(context, balancers, idle):
+    warm_up = WarmUp(10.0, 2 * idle)
     context.budgets = []
-    context.now_ms = 1_000 + quiet
+    context.now_ms = 1_000 + idle
     for index in range(balancers):
         budget = SlowStartBudget(warm_up, Fleet(f'b{index}', balancers))
         budget.begin('one', 1_000)
         context.budgets.append(budget)
 
 
-@when('each sends what it may within a second')
+@when('each balancer sends as many flows as allowed in a second')
 def sends_within_budget(context):
     context.sent = 0
     for now_ms in range(context.now_ms, context.now_ms + 1_000, 10):
@@ -78,12 +78,14 @@
                 context.sent += 1
 
 
-@then('a target that bears 10 requests a second gets at most {most:d}')
+@then(
+    'a target with a rate of 10 requests a second gets at most {most:d} flows'
+)
 def gets_at_most(context, most):
     assert 0 < context.sent <= most, context.sent
 
 
-@given('targets that are cold for {lasts:d} ms bear {rate:d} requests a '
+@given('targets in slow start for {lasts:d} ms take {rate:d} requests a '
        'second')  # fmt: skip
 def slow_start_rate(context, lasts, rate):
     state = context.balancer.state
@@ -102,19 +104,19 @@
     return list(context.entries.values())
 
 
-@given('the balancer knows of {count:d} balancers')
+@given('a fleet of {count:d} balancers')
 def fleet_size(context, count):
     context.balancer.state.fleet.name = 'one'
     context.balancer.state.fleet.balancers = count
 
 
-@when('{first} and {second} turn cold')
+@when('{first} and {second} enter slow start')
 def both_enter_slow_start(context, first, second):
     for name in (first, second):
         enters_slow_start(context, name)
 
 
-@when('{name} turns cold')
+@when('{name} enters slow start')
 def enters_slow_start(context, name):
     entry = evolve(context.entries[name], warm_up_ms=SLOW_START_MS)
     context.balancer.put(entry)
@@ -140,7 +142,7 @@
 
 
 def is_placed(balancer, client):
-    """Tell whether a client's flow is anywhere."""
+    """Tell whether the flow of a client was placed."""
     return balancer.segments[client].flow in balancer.state.flows
 
 
--- a/tests/features/steps/stalls_steps.py
+++ b/tests/features/steps/stalls_steps.py
@@ -1,4 +1,4 @@
-"""Steps on targets that hang: stalls, and what members tell of them."""
+"""Steps for targets that hang: stalls and stall reports."""
 
 import random
 
@@ -33,7 +33,7 @@
 ANSWERS = 100
 TICK_MS = 20
 ANSWER_MS = 25
-AFTER_MS = 200
+EVENT_AFTER_MS = 200
 TARGET = 'one'
 WAITED_MS = 300
 DIVISORS = {'a seventh': 7, 'half': 2}
@@ -50,25 +50,25 @@
         balancer.state.stalls.answered('guide', answer)
 
 
-@when('a request to guide waits for {wait:d} ms, {how}')
-def request_waits(context, wait, how):
+@when('a request to guide waits for {wait:d} ms, {event}')
+def request_waits(context, wait, event):
     balancer = context.balancer
     balancer.send(1, ADDRESS, opens=True)
     (sent,) = forwards(balancer.last)
     send_data(balancer, 1, ADDRESS, tag=sent.tag)
-    if 'stands still' in how:
+    if 'is paused' in event:
         balancer.now_ms += wait
         balancer.feed(Tick(balancer.now_ms))
         return
-    balancer.state.health.is_link_busy = 'link is busy' in how
-    if 'after' in how:
-        balancer.pass_time(AFTER_MS)
-        wait -= AFTER_MS
-    if 'is answered' in how:
+    balancer.state.health.is_link_busy = 'link is busy' in event
+    if 'after' in event:
+        balancer.pass_time(EVENT_AFTER_MS)
+        wait -= EVENT_AFTER_MS
+    if 'is answered' in event:
         balancer.send(1, ADDRESS, sent.tag, acknowledgement=900)
-    elif 'sends more' in how:
+    elif 'sends more' in event:
         send_data(balancer, 1, ADDRESS)
-    elif 'flow ends' in how:
+    elif 'flow ends' in event:
         balancer.send(1, ADDRESS, sent.tag, closes=True)
     balancer.pass_time(wait)
 
@@ -90,7 +90,7 @@
 
 
 def report_stall(context, source, target=TARGET, ago_ms=0, number=None):
-    """Let a member see a target stall; return what is done about it."""
+    """Report a stall by a member; return the actions."""
     event = stall_reports.StallSeen(target, WAITED_MS, context.now_ms)
     if source != 'me':
         number = context.now_ms if number is None else number
@@ -99,7 +99,7 @@
     return stall_reports.decide(context.reports, event)
 
 
-@when('a target is seen to stall by, in this order: {events}')
+@when('stalls of a target are reported in this order: {events}')
 def stalls_reported(context, events):
     context.ejected_ms = 0
     for words in read_events(events):
@@ -121,50 +121,52 @@
                 context.ejected_ms = one.until_ms - context.now_ms
 
 
-@then('it is held out for {hold:d} ms, or up to twice as long')
-def ejected_for(context, hold):
-    assert hold <= context.ejected_ms <= 2 * hold, context.ejected_ms
+@then('it is ejected for {ejected_ms:d} ms, or up to twice as long')
+def ejected_for(context, ejected_ms):
+    assert ejected_ms <= context.ejected_ms <= 2 * ejected_ms, (
+        context.ejected_ms
+    )
 
 
-@then('of {count:d} members that hold a target out at most {most:d} try it '
+@then('of {count:d} members that eject a target at most {most:d} use it again '
       'within 200 ms')  # fmt: skip
-def try_again(context, count, most):
+def used_again(context, count, most):
     untils = []
     for number in range(count):
         context.reports = stall_reports.StallReportState(f'm{number}')
         report_stall(context, 'b')
-        (hold,) = report_stall(context, 'c')
-        untils.append(hold.until_ms)
+        (ejection,) = report_stall(context, 'c')
+        untils.append(ejection.until_ms)
     untils.sort()
     assert untils[most] - untils[0] > 200, untils
 
 
-@when('{count:d} targets stall within 1000 ms, seen by {source}')
+@when('{count:d} targets stall within 1000 ms, reported by {source}')
 def targets_stall(context, count, source):
-    context.told = []
+    context.sent = []
     for number in range(count):
         context.now_ms += 1_000 // count
         actions = report_stall(context, source, target=f't{number}')
-        context.told += [
+        context.sent += [
             one
             for one in actions
             if isinstance(one, stall_reports.SendStallReport)
         ]
 
 
-@then('it tells at most {tells:d} times, each time {fanout:d} members')
-def sends_at_most(context, tells, fanout):
-    assert min(tells, 1) <= len(context.told) <= tells, len(context.told)
-    assert all(len(set(one.peers)) == fanout for one in context.told)
+@then('it sends at most {reports:d} reports, each to {fanout:d} members')
+def sends_at_most(context, reports, fanout):
+    assert min(reports, 1) <= len(context.sent) <= reports, len(context.sent)
+    assert all(len(set(one.peers)) == fanout for one in context.sent)
 
 
-@when('a doubt is told over the wire')
+@when('a stall report is encoded')
 def report_over_wire(context):
     context.report = wire.StallReport('i-7f', 'one', 321, 45, 6)
     context.datagram = wire.encode_stall_report(context.report)
 
 
-@then('it is the same, and random bytes are refused')
+@then('it is decoded unchanged, and random bytes are refused')
 def same_report(context):
     assert wire.is_stall_report(context.datagram)
     assert not wire.is_heartbeat(context.datagram)
@@ -184,14 +186,14 @@
 
 
 def make_pool(count, seed):
-    """Return a pool of targets of the own domain."""
+    """Return a pool of local targets."""
     pool = Pool('guide', failure_domain='a', seed=seed, fade_ms=1_500)
     for number in range(count):
         pool.put(TargetInfo(f't{number}', 'a', slots=2), START_MS)
     return pool
 
 
-@when('all of them are held out, one after the other')
+@when('all of them are ejected one after the other')
 def all_ejected(context):
     for name in context.pool.targets:
         context.pool.eject(name, START_MS + 2_000, START_MS)
@@ -205,7 +207,7 @@
 
 @define
 class SimulatedBalancer:
-    """One balancer: its view of the targets, and what it was told."""
+    """A balancer with its pool, stall detection and received reports."""
 
     pool: Pool
     reports: stall_reports.StallReportState
@@ -214,10 +216,10 @@
 
 
 class HangingService:
-    """Balancers before targets some of which never answer.
+    """Balancers and their targets, some of which never answer.
 
-    Flows open one after the other at a random balancer; what is told takes
-    a tick.  ``lost`` are the times of those that met a target that hangs.
+    Each flow opens at a random balancer; stall reports take a tick.
+    ``lost`` holds the times of the flows that were sent to hanging targets.
     """
 
     def __init__(self, balancers, targets, hanging, is_reporting):
@@ -238,7 +240,7 @@
         }
 
     def run(self, duration_ms, per_s):
-        """Open flows for some time."""
+        """Open flows at a rate for some time."""
         owed = 0.0
         for now_ms in range(START_MS, START_MS + duration_ms, TICK_MS):
             owed += per_s * TICK_MS / 1_000
@@ -305,24 +307,24 @@
     context.duration_ms = lasts
 
 
-@when('{per_s:d} flows a second open, and each knows what it saw itself')
+@when('{per_s:d} flows a second open, and balancers send no stall reports')
 def own_views(context, per_s):
     context.per_s = per_s
     context.own = HangingService(*context.size, False)
     context.own.run(context.duration_ms, per_s)
 
 
-@when('the same flows open, and members tell each other what they saw')
+@when('the same flows open, and balancers send stall reports')
 def shared_views(context):
-    context.told = HangingService(*context.size, True)
+    context.shared = HangingService(*context.size, True)
     per_s = getattr(context, 'per_s', 400)
-    context.told.run(context.duration_ms, per_s)
+    context.shared.run(context.duration_ms, per_s)
 
 
-@then('at most {part} of the flows is lost')
+@then('at most {part} as many flows are lost with stall reports')
 def lost_at_most(context, part):
-    own, told = len(context.own.lost), len(context.told.lost)
-    assert told * DIVISORS[part] <= own, (told, own)
+    own, shared = len(context.own.lost), len(context.shared.lost)
+    assert shared * DIVISORS[part] <= own, (shared, own)
 
 
 @then('each balancer still uses at least {least:d} targets')
@@ -330,17 +332,17 @@
     now_ms = START_MS + context.duration_ms
     found = [
         len(member.pool.usable(now_ms))
-        for member in context.told.members.values()
+        for member in context.shared.members.values()
     ]
     assert min(found) >= least, min(found)
 
 
-@given('nobody watches for stalls')
+@given('stall detection is off')
 def stall_detection_off(context):
     context.balancer.state.is_watching_stalls = False
 
 
-@then('no request is kept')
+@then('no request is tracked')
 def no_request_tracked(context):
     services = context.balancer.state.stalls.services.values()
     assert not any(one.waiting for one in services)
