--- a/tests/features/decisions/evacuations.feature
+++ b/tests/features/decisions/evacuations.feature
@@ -107,7 +107,7 @@
   Scenario: A domain that is taken back gets its part, and no wave
     Given the domains b are evacuated
     And clients 1 to 400 were served one after the other at 198.51.0.1:8443
-    When the domains b are evacuated no more
+    When the domains b are no longer evacuated
     And clients 401 to 440 are served one after the other at 198.51.0.1:8443
     Then at least 4 and at most 24 of these flows were in domain b
 
--- a/tests/features/decisions/slow_start.feature
+++ b/tests/features/decisions/slow_start.feature
@@ -93,7 +93,7 @@
     And targets in slow start for 2000 ms take 10 requests a second
     And a fleet of 99 balancers
     And the domains a are evacuated
-    When the domains a are evacuated no more
+    When the domains a are no longer evacuated
     And clients 1 to 20 open flows to 198.51.0.1:8443
     Then 0 flows go to back-1, the others are refused
     When 2100 ms pass
--- a/tests/features/steps/joining_steps.py
+++ b/tests/features/steps/bootstrap_steps.py
@@ -35,7 +35,7 @@
 
 START_MS = 1_000
 FLOW_MAX_AGE_MS = 60_000
-SPREAD_MS = 300
+START_WINDOW_MS = 300
 TIMES = membership.MembershipTimes()
 
 
@@ -54,35 +54,35 @@
     seeds: tuple
     states: dict = Factory(dict)
     down: set = Factory(set)
-    told_bytes: dict = Factory(dict)
+    sent_bytes: dict = Factory(dict)
 
     def start(self, record, at_ms):
         """Start a balancer; return when it asks, and in which turn."""
         state = membership.make_membership(record, TIMES, self.seeds, at_ms)
         self.states[record.peer] = state
         return [
-            (at_ms + ask_ms, turn, record.peer)
-            for turn, ask_ms in enumerate(bootstrap.ATTEMPT_TIMES_MS)
+            (at_ms + ask_ms, attempt, record.peer)
+            for attempt, ask_ms in enumerate(bootstrap.ATTEMPT_TIMES_MS)
         ]
 
-    def play(self, asks):
+    def run(self, asks):
         """Let everyone ask, in the order of time."""
-        for now_ms, turn, peer in sorted(asks, key=lambda one: one[:2]):
-            self.ask(peer, turn, now_ms)
+        for now_ms, attempt, peer in sorted(asks, key=lambda one: one[:2]):
+            self.ask(peer, attempt, now_ms)
 
-    def ask(self, peer, turn, now_ms):
+    def ask(self, peer, attempt, now_ms):
         """Let one balancer ask in one turn."""
         state = self.states[peer]
-        near = self.near(state)
-        whom = bootstrap.peers_to_ask(state.own, turn, state.seeds, near)
-        wanted = bootstrap.answers_needed(turn)
+        local = self.local_members(state)
+        whom = bootstrap.peers_to_ask(state.own, attempt, state.seeds, local)
+        wanted = bootstrap.answers_needed(attempt)
         for other in whom:
             if wanted and other in self.states and other not in self.down:
                 self.answer(self.states[other], state, now_ms)
                 wanted -= 1
 
     @staticmethod
-    def near(state):
+    def local_members(state):
         """Return the members of the own domain that a balancer knows."""
         domain = state.own.failure_domain
         return [
@@ -95,8 +95,8 @@
         membership.learn_all(asked, [asked_of], now_ms)
         known = [asked.own, *asked.reachable()]
         data = wire.encode_members(bootstrap.members_to_send(known, asked_of))
-        told = self.told_bytes.get(asked.own.peer, 0)
-        self.told_bytes[asked.own.peer] = told + len(data)
+        told = self.sent_bytes.get(asked.own.peer, 0)
+        self.sent_bytes[asked.own.peer] = told + len(data)
         membership.learn_all(asker, wire.decode_members(data), now_ms)
 
 
@@ -119,16 +119,16 @@
     rng = random.Random(4)
     asks = []
     for record in context.records:
-        at_ms = START_MS + rng.randrange(SPREAD_MS)
+        at_ms = START_MS + rng.randrange(START_WINDOW_MS)
         asks += context.fleet.start(record, at_ms)
-    context.fleet.play(asks)
+    context.fleet.run(asks)
 
 
 @when('one more starts {after:d} ms later')
 def one_more(context, after):
     record = make_record(len(context.records), context.fleet.domains)
     asks = context.fleet.start(record, START_MS + after)
-    context.fleet.play(asks[:1])
+    context.fleet.run(asks[:1])
     context.newcomer = record
 
 
@@ -145,7 +145,7 @@
 def each_knows_all(context):
     for state in context.fleet.states.values():
         wanted = domain_names(context, state.own.failure_domain)
-        found = {one.name for one in context.fleet.near(state)}
+        found = {one.name for one in context.fleet.local_members(state)}
         found.add(state.own.name)
         assert found == wanted, (state.own.name, len(found), len(wanted))
 
@@ -154,7 +154,7 @@
 def newcomer_knows_all(context):
     state = context.fleet.states[context.newcomer.peer]
     wanted = domain_names(context, state.own.failure_domain)
-    found = {one.name for one in context.fleet.near(state)}
+    found = {one.name for one in context.fleet.local_members(state)}
     assert found | {state.own.name} == wanted, wanted - found
 
 
@@ -175,24 +175,26 @@
 
 @then('no balancer told more than {most:d} bytes')
 def told_at_most(context, most):
-    found = max(context.fleet.told_bytes.values())
+    found = max(context.fleet.sent_bytes.values())
     assert found <= most, found
 
 
 @given('a newcomer that knows the seeds s1 and s2, and {near:d} near members')
-def newcomer(context, near):
+def newcomer(context, local):
     context.own = make_record(99, 1)
     context.seeds = (Endpoint('10.9.0.1', 1), Endpoint('10.9.0.2', 1))
-    context.near = [make_record(number, 1) for number in range(near)]
+    context.local_members = [make_record(number, 1) for number in range(local)]
 
 
 @then('in turn {turn:d} it asks {whom}')
-def asks_in_turn(context, turn, whom):
+def asks_in_turn(context, attempt, whom):
     found = bootstrap.peers_to_ask(
-        context.own, turn, context.seeds, context.near
+        context.own, attempt, context.seeds, context.local_members
     )
-    first = bootstrap.peers_to_ask(context.own, 0, context.seeds, context.near)
-    members = {one.peer for one in context.near}
+    first = bootstrap.peers_to_ask(
+        context.own, 0, context.seeds, context.local_members
+    )
+    members = {one.peer for one in context.local_members}
     match whom:
         case 'seeds':
             assert set(found) == set(context.seeds), found
@@ -205,7 +207,7 @@
             raise AssertionError(whom)
 
 
-def make_beliefs():
+def make_store_cache():
     """Return the beliefs of a balancer that knows nothing."""
     state = ForwardingState('a', FLOW_MAX_AGE_MS)
     return StoreCache(state, StructuredLog(ManualClock(START_MS)))
@@ -214,7 +216,7 @@
 @given('a balancer that knows targets up to revision {revision:d} and routes '
        'of version {version:d}')  # fmt: skip
 def knowing_balancer(context, revision, version):
-    context.store_cache = make_beliefs()
+    context.store_cache = make_store_cache()
     entries = (make_entry('one', 'guide'), make_entry('two', 'guide'))
     table = RouteTable(version, {}, {}, 15_000)
     context.store_cache.apply_feed_update(
@@ -235,7 +237,7 @@
 
 @when('a newcomer takes over what it is told')
 def newcomer_takes_over(context):
-    context.newcomer = make_beliefs()
+    context.newcomer = make_store_cache()
     data = wire.encode_snapshot(context.store_cache.snapshot(START_MS))
     context.newcomer.apply_snapshot(wire.decode_snapshot(data), START_MS)
 
@@ -262,19 +264,19 @@
 @when('8 peers ask for {asked}, {event} before the last 4')
 def many_ask(context, asked, event):
     clock = ManualClock(START_MS)
-    teller = SnapshotServer(context.store_cache, clock, Metrics())
-    answers = [teller.answer(asked) for _ in range(4)]
+    server = SnapshotServer(context.store_cache, clock, Metrics())
+    answers = [server.answer(asked) for _ in range(4)]
     match event.split():
         case [interval, 'ms', *_]:
             clock.advance(int(interval))
         case ['one', *_, other]:
-            teller.answer(other)
+            server.answer(other)
         case [*_, 'written']:
             delta = Delta((make_entry('third', 'guide'),), (), 13, 12)
             context.store_cache.apply_feed_update(
                 FeedUpdate(TARGETS, delta), START_MS
             )
-    answers += [teller.answer(asked) for _ in range(4)]
+    answers += [server.answer(asked) for _ in range(4)]
     context.answers = answers
 
 
@@ -296,7 +298,7 @@
         jitter=0.5,
         times=freshness_times(),
     )
-    path = SimpleNamespace(store_cache=make_beliefs(), started_ms=START_MS)
+    path = SimpleNamespace(store_cache=make_store_cache(), started_ms=START_MS)
     context.metrics = Metrics()
     group = GroupService(
         Kernel(ManualClock(START_MS)),
@@ -306,9 +308,9 @@
         StructuredLog(ManualClock(START_MS)),
         context.metrics,
     )
-    beat = wire.Heartbeat('other', 0, 10, 10, 5, 3, (), ())
+    heartbeat = wire.Heartbeat('other', 0, 10, 10, 5, 3, (), ())
     for datagram in (
-        wire.encode_heartbeat(beat),
+        wire.encode_heartbeat(heartbeat),
         wire.encode_heartbeat_request('other'),
     ):
         group._on_datagram(datagram, ('127.0.0.1', 2))
@@ -322,9 +324,9 @@
 
 @when('a peer asks for {questions} or nothing')
 def ask_badly(context, questions):
-    teller = SnapshotServer(context.store_cache, ManualClock(0), Metrics())
+    server = SnapshotServer(context.store_cache, ManualClock(0), Metrics())
     asked = [*questions.split(', '), '']
-    context.answers = [teller.answer(one) for one in asked]
+    context.answers = [server.answer(one) for one in asked]
 
 
 @then('it refuses all of them')
--- a/tests/features/steps/bundling_steps.py
+++ b/tests/features/steps/bundling_steps.py
@@ -22,14 +22,14 @@
 
 # Features on what a balancer on the platform decides.
 DECISIONS = (
-    'beliefs',
+    'store_cache',
     'forwarding',
     'group',
-    'joining',
+    'bootstrap',
     'overflow',
     'placement',
     'reader',
-    'spreading',
+    'dissemination',
 )
 LIMIT_S = 300
 PRELUDE = """
--- a/tests/features/steps/spreading_steps.py
+++ b/tests/features/steps/dissemination_steps.py
@@ -33,7 +33,7 @@
 
 START_MS = 100_000
 TICK_MS = 50
-BEAT_EVERY_MS = 400
+HEARTBEAT_INTERVAL_MS = 400
 NONE_EVACUATED = Evacuated(frozenset(), 5)
 
 
@@ -90,8 +90,8 @@
         dissemination.decide(context.state, event)
     if how == 'proven':
         for feed in context.state.feeds:
-            news = Listing((), 5)
-            event = dissemination.StoreAnswered(feed, news, START_MS)
+            update = Listing((), 5)
+            event = dissemination.StoreAnswered(feed, update, START_MS)
             dissemination.decide(context.state, event)
     context.now_ms = START_MS
 
@@ -99,35 +99,35 @@
 @when('{interval:d} ms with beats of age {age:d}, then {more:d} ms '
       'without')  # fmt: skip
 def beats_then_none(context, interval, age, more):
-    play(context, interval, age)
-    play(context, more, None)
+    advance(context, interval, age)
+    advance(context, more, None)
 
 
 @when('{interval:d} ms with beats of age {age:d}, then {more:d} ms with '
       'beats of age {other:d}')  # fmt: skip
 def beats_then_others(context, interval, age, more, other):
-    play(context, interval, age)
-    play(context, more, other)
+    advance(context, interval, age)
+    advance(context, more, other)
 
 
 @when('{interval:d} ms without a beat, then {more:d} ms with beats of '
       'age {age:d}')  # fmt: skip
 def none_then_beats(context, interval, more, age):
-    play(context, interval, None)
-    play(context, more, age)
+    advance(context, interval, None)
+    advance(context, more, age)
 
 
 @when('{interval:d} ms with beats of age {age:d}')
 def with_beats(context, interval, age):
-    play(context, interval, age)
+    advance(context, interval, age)
 
 
 @when('{interval:d} ms without a beat')
 def without_beats(context, interval):
-    play(context, interval, None)
+    advance(context, interval, None)
 
 
-def play(context, interval_ms, age_ms):
+def advance(context, interval_ms, age_ms):
     """Let time pass, with beats of an age, or none."""
     state = context.state
     context.asked = 0
@@ -135,12 +135,12 @@
     while context.now_ms < until_ms:
         context.now_ms += TICK_MS
         now_ms = context.now_ms
-        if age_ms is not None and now_ms % BEAT_EVERY_MS == 0:
-            beat = make_heartbeat(
+        if age_ms is not None and now_ms % HEARTBEAT_INTERVAL_MS == 0:
+            heartbeat = make_heartbeat(
                 age_ms=age_ms, targets=state.targets_revision
             )
             dissemination.decide(
-                state, dissemination.HeartbeatReceived(beat, now_ms)
+                state, dissemination.HeartbeatReceived(heartbeat, now_ms)
             )
         done = dissemination.decide(state, Tick(now_ms))
         context.asked += sum(
@@ -150,7 +150,7 @@
 
 @when('{interval:d} ms with beats of age {age} go by')
 def beats_go_by(context, interval, age):
-    play(context, interval, None if age == 'none' else int(age))
+    advance(context, interval, None if age == 'none' else int(age))
 
 
 @then('it has asked for beats: {asked}')
@@ -217,17 +217,19 @@
 @when('a beat brings changes from revision {base:d} to {revision:d}')
 def beat_with_changes(context, base, revision):
     entry = make_entry('new', 'guide')
-    beat = make_heartbeat(base=base, targets=revision, written=(entry,))
+    heartbeat = make_heartbeat(base=base, targets=revision, written=(entry,))
     context.actions = dissemination.decide(
-        context.state, dissemination.HeartbeatReceived(beat, START_MS)
+        context.state, dissemination.HeartbeatReceived(heartbeat, START_MS)
     )
 
 
 @when('beats of version {version:d} arrive {times:d} times within 100 ms')
 def beats_of_version(context, version, times):
     for index in range(times):
-        beat = make_heartbeat(version=version)
-        event = dissemination.HeartbeatReceived(beat, START_MS + 20 * index)
+        heartbeat = make_heartbeat(version=version)
+        event = dissemination.HeartbeatReceived(
+            heartbeat, START_MS + 20 * index
+        )
         context.actions += dissemination.decide(context.state, event)
 
 
@@ -235,10 +237,10 @@
       'and {what}')  # fmt: skip
 def beats_while_pulling(context, version, senders, span, what):
     context.actions = []
-    for now_ms in range(START_MS, START_MS + span, BEAT_EVERY_MS):
+    for now_ms in range(START_MS, START_MS + span, HEARTBEAT_INTERVAL_MS):
         for sender in senders.replace(' and ', ', ').split(', '):
-            beat = make_heartbeat(sender=sender, version=version)
-            event = dissemination.HeartbeatReceived(beat, now_ms)
+            heartbeat = make_heartbeat(sender=sender, version=version)
+            event = dissemination.HeartbeatReceived(heartbeat, now_ms)
             found = dissemination.decide(context.state, event)
             context.actions += found
             if what == 'each pull fails at once':
@@ -302,8 +304,8 @@
 
     def round(self, is_lost=lambda sender, receiver: False, alive=None):
         """Send one round of beats, all at the same time."""
-        self.now_ms += BEAT_EVERY_MS
-        beats = []
+        self.now_ms += HEARTBEAT_INTERVAL_MS
+        heartbeats = []
         for name in alive or self.names:
             state = self.members[name]
             for one in dissemination.decide(state, Tick(self.now_ms)):
@@ -311,15 +313,17 @@
                     data = wire.encode_heartbeat(one.heartbeat)
                     self.sizes.append(len(data))
                     self.sent.append(len(one.children))
-                    beats += [(name, child, data) for child in one.children]
-        for sender, receiver, data in beats:
+                    heartbeats += [
+                        (name, child, data) for child in one.children
+                    ]
+        for sender, receiver, data in heartbeats:
             if not is_lost(sender, receiver):
                 self.deliver(receiver, wire.decode_heartbeat(data))
 
-    def deliver(self, receiver, beat):
+    def deliver(self, receiver, heartbeat):
         """Hand a beat over and do what the receiver wants done."""
         state = self.members[receiver]
-        event = dissemination.HeartbeatReceived(beat, self.now_ms)
+        event = dissemination.HeartbeatReceived(heartbeat, self.now_ms)
         for one in dissemination.decide(state, event):
             if isinstance(one, dissemination.ApplyDelta):
                 self.apply(receiver, one.delta)
@@ -354,21 +358,23 @@
 @when('the root reads that domain {domain} is evacuated at revision '
       '{revision:d}')  # fmt: skip
 def root_reads_evacuation(context, domain, revision):
-    news = Delta((domain,), (), revision, revision - 1)
-    root_learns(context, news)
+    update = Delta((domain,), (), revision, revision - 1)
+    send_evacuations_to_root(context, update)
 
 
 @when('the root reads that domain {domain} is evacuated no more at revision '
       '{revision:d}')  # fmt: skip
 def root_reads_return(context, domain, revision):
-    root_learns(context, Delta((), (domain,), revision, revision - 1))
+    send_evacuations_to_root(
+        context, Delta((), (domain,), revision, revision - 1)
+    )
 
 
-def root_learns(context, news):
+def send_evacuations_to_root(context, update):
     """Let the first member hear of evacuations from the store."""
     domain = context.domain
     domain.round()
-    event = dissemination.StoreAnswered(EVACUATIONS, news, domain.now_ms)
+    event = dissemination.StoreAnswered(EVACUATIONS, update, domain.now_ms)
     dissemination.decide(domain.members[domain.names[0]], event)
 
 
@@ -472,10 +478,10 @@
 def random_histories(context, count, size):
     context.ends = []
     for seed in range(count):
-        context.ends.append(play_history(random.Random(seed), size))
+        context.ends.append(simulate_history(random.Random(seed), size))
 
 
-def play_history(rng, size):
+def simulate_history(rng, size):
     """Play one history; return (what the store held, what members held)."""
     domain = Domain(size)
     store = {}
@@ -531,7 +537,7 @@
     return make_entry(name, f's{number % 5}', 'abc'[number % 3], number)
 
 
-def random_beat(rng):
+def random_heartbeat(rng):
     """Return some beat."""
     entries = tuple(random_entry(rng) for _ in range(rng.randrange(5)))
     return make_heartbeat(
@@ -543,7 +549,7 @@
     )
 
 
-def random_knowledge(rng):
+def random_snapshot(rng):
     """Return some targets and routes."""
     routes = {}
     for index in range(rng.randrange(5)):
@@ -566,9 +572,9 @@
 
 
 CODECS = {
-    'beats': (random_beat, wire.encode_heartbeat, wire.decode_heartbeat),
+    'beats': (random_heartbeat, wire.encode_heartbeat, wire.decode_heartbeat),
     'knowledge': (
-        random_knowledge,
+        random_snapshot,
         wire.encode_snapshot,
         wire.decode_snapshot,
     ),
@@ -674,26 +680,28 @@
     start_ms = domain.now_ms
     while domain.now_ms < start_ms + 8_000:
         domain.now_ms += TICK_MS
-        beats = []
+        heartbeats = []
         for name, state in domain.members.items():
             for one in dissemination.decide(state, Tick(domain.now_ms)):
                 match one:
-                    case dissemination.SendHeartbeat(beat, children):
-                        beats += [(child, beat) for child in children]
+                    case dissemination.SendHeartbeat(heartbeat, children):
+                        heartbeats += [
+                            (child, heartbeat) for child in children
+                        ]
                     case dissemination.SetStoreReader(True):
                         lasted_ms = domain.now_ms - start_ms
                         context.began.setdefault(name, lasted_ms)
                         if answers == 'answers':
                             answer(state, domain.now_ms)
-        for child, beat in beats:
-            domain.deliver(child, beat)
+        for child, heartbeat in heartbeats:
+            domain.deliver(child, heartbeat)
 
 
 def answer(state, now_ms):
     """Let the store say that nothing has changed."""
     for feed in state.feeds:
-        news = Delta((), (), state.targets_revision, state.targets_revision)
-        event = dissemination.StoreAnswered(feed, news, now_ms)
+        update = Delta((), (), state.targets_revision, state.targets_revision)
+        event = dissemination.StoreAnswered(feed, update, now_ms)
         dissemination.decide(state, event)
 
 
@@ -710,19 +718,19 @@
     assert len(context.began) == readers, sorted(context.began)
 
 
-class AskingDomain:
+class RequestingDomain:
     """A domain whose members also ask for beats.
 
     ``is_lost(sender, receiver)`` tells of beats, ``answers(sender,
     receiver)`` of those that were asked for.  Whoever is called ``remote`` is
-    in another domain, and knows what the store said ``far_age_ms`` ago.
+    in another domain, and knows what the store said ``remote_age_ms`` ago.
     """
 
-    def __init__(self, domain, is_lost, answers, far_age_ms=None):
+    def __init__(self, domain, is_lost, answers, remote_age_ms=None):
         self.domain = domain
         self.is_lost = is_lost
         self.answers = answers
-        self.far_age_ms = far_age_ms
+        self.remote_age_ms = remote_age_ms
         self.began = {}
 
     def run(self, interval_ms, is_store_up):
@@ -742,10 +750,10 @@
     def execute(self, name, action):
         """Do what a member decided."""
         match action:
-            case dissemination.SendHeartbeat(beat, receivers):
+            case dissemination.SendHeartbeat(heartbeat, receivers):
                 for receiver in receivers:
                     if not self.is_lost(name, receiver):
-                        self.domain.deliver(receiver, beat)
+                        self.domain.deliver(receiver, heartbeat)
             case dissemination.RequestHeartbeat(peers):
                 for peer in peers:
                     self.ask(name, peer)
@@ -755,8 +763,8 @@
     def ask(self, name, peer):
         """Let a peer answer."""
         if peer == 'far':
-            beat = make_heartbeat('far', self.far_age_ms)
-            self.domain.deliver(name, beat)
+            heartbeat = make_heartbeat('far', self.remote_age_ms)
+            self.domain.deliver(name, heartbeat)
         elif self.answers(peer, name):
             event = dissemination.HeartbeatRequested(name, self.domain.now_ms)
             (told,) = dissemination.decide(self.domain.members[peer], event)
@@ -774,7 +782,7 @@
         'a fifth of the answers is lost': 0.8,
         'those asked answer nothing': 0.0,
     }
-    asking = AskingDomain(
+    asking = RequestingDomain(
         domain,
         lambda _sender, receiver: receiver in lost,
         lambda _sender, _receiver: random.random() < shares[answers],
@@ -789,7 +797,7 @@
 def far_member_knows(context, age):
     for state in context.domain.members.values():
         state.remote = ('far',)
-    asking = AskingDomain(
+    asking = RequestingDomain(
         context.domain,
         lambda _sender, _receiver: False,
         lambda _sender, _receiver: True,
@@ -809,10 +817,10 @@
         if 'later' in text:
             context.now_ms += numbers[0]
         for feed in context.state.feeds:
-            news = Listing((), 10, age_ms, may_lag='may lag' in text)
+            update = Listing((), 10, age_ms, may_lag='may lag' in text)
             if 'watch' in text:
-                news = Delta((), (), 10, 10, age_ms)
-            event = dissemination.StoreAnswered(feed, news, context.now_ms)
+                update = Delta((), (), 10, 10, age_ms)
+            event = dissemination.StoreAnswered(feed, update, context.now_ms)
             dissemination.decide(context.state, event)
 
 
--- a/tests/features/steps/evacuations_steps.py
+++ b/tests/features/steps/evacuations_steps.py
@@ -21,7 +21,7 @@
 SERVED_MS = 60
 
 
-def read_news(text):
+def read_update(text):
     """Return what is told by words such as ``written a b at 12``."""
     words, _at, revision = text.rpartition(' at ')
     kind, *domains = words.split()
@@ -44,7 +44,7 @@
     context.evacuations = EvacuationState()
     context.changes = []
     for part in news.split(', '):
-        found = evacuations.decide(context.evacuations, read_news(part))
+        found = evacuations.decide(context.evacuations, read_update(part))
         context.changes += found
 
 
@@ -63,7 +63,7 @@
     context.balancer.feed(event)
 
 
-@when('the domains {domains} are evacuated no more')
+@when('the domains {domains} are no longer evacuated')
 def domains_returned(context, domains):
     left = context.balancer.state.evacuated - set(domains.split(', '))
     event = flows.DomainsEvacuated(left, context.balancer.now_ms)
--- a/tests/features/steps/confirming_steps.py
+++ b/tests/features/steps/freshness_steps.py
@@ -23,10 +23,10 @@
     head, _by, changes = text.partition(' by ')
     *lagging, feed, revision = head.split()
     revisions = tuple(int(one) for one in changes.split())
-    news = Delta((), (), int(revision), changes=revisions)
+    update = Delta((), (), int(revision), changes=revisions)
     if lagging:
-        news = Listing((), int(revision), may_lag=True)
-    return freshness.Answered(feed, news, now_ms)
+        update = Listing((), int(revision), may_lag=True)
+    return freshness.Answered(feed, update, now_ms)
 
 
 @given('a member that has begun to read')
@@ -94,11 +94,11 @@
         self.answers = answers
         self.changes = []
         self.state = freshness.FreshnessState()
-        self.under_way = []
+        self.pending_answers = []
         self.read = dict.fromkeys(FEEDS, 0)
-        self.told = dict.fromkeys(FEEDS, 0)
+        self.delivered = dict.fromkeys(FEEDS, 0)
         self.now_ms = START_MS
-        self.proofs = []
+        self.confirmed_both = []
         self.wrong = []
 
     def run(self, steps):
@@ -108,17 +108,19 @@
             self.now_ms += self.rng.randrange(1, TICK_MS)
             if self.rng.random() < 0.3:
                 self.changes.append(self.rng.choice(FEEDS))
-            self.ask(self.rng.choice(FEEDS))
+            self.query(self.rng.choice(FEEDS))
             in_order = self.answers == 'come in order'
-            while self.under_way and (in_order or self.rng.random() < 0.5):
+            while self.pending_answers and (
+                in_order or self.rng.random() < 0.5
+            ):
                 index = 0
                 if self.answers == 'overtake each other':
-                    index = self.rng.randrange(len(self.under_way))
-                self.deliver(self.under_way.pop(index))
+                    index = self.rng.randrange(len(self.pending_answers))
+                self.deliver(self.pending_answers.pop(index))
 
-    def ask(self, feed):
+    def query(self, feed):
         """Let the store answer what changed since it was asked last."""
-        if any(one.feed == feed for one in self.under_way):
+        if any(one.feed == feed for one in self.pending_answers):
             return
         revision = len(self.changes)
         since = self.read[feed]
@@ -132,28 +134,30 @@
                 one for one in revisions if self.rng.random() < 0.7
             )
         self.read[feed] = revision
-        news = Delta((), (), revision, since, changes=revisions)
-        self.under_way.append(freshness.Answered(feed, news, self.now_ms))
+        update = Delta((), (), revision, since, changes=revisions)
+        self.pending_answers.append(
+            freshness.Answered(feed, update, self.now_ms)
+        )
 
     def deliver(self, event):
         """Take over an answer; note what it confirmed."""
-        self.told[event.feed] = event.update.revision
+        self.delivered[event.feed] = event.update.revision
         found = freshness.decide(self.state, event)
         for one in found:
             if isinstance(one, freshness.Confirm):
                 self.check(one)
         if event.feed == TARGETS:
             kinds = [type(one) for one in found]
-            self.proofs.append(kinds.count(freshness.Confirm) == 2)
+            self.confirmed_both.append(kinds.count(freshness.Confirm) == 2)
 
     def check(self, confirmed):
         """See that nothing of a feed changed that was not told."""
         unseen = range(
-            self.told[confirmed.feed] + 1, confirmed.delta.revision + 1
+            self.delivered[confirmed.feed] + 1, confirmed.delta.revision + 1
         )
         if any(self.changes[one - 1] == confirmed.feed for one in unseen):
             self.wrong.append(confirmed)
-        self.told[confirmed.feed] = confirmed.delta.revision
+        self.delivered[confirmed.feed] = confirmed.delta.revision
         self.read[confirmed.feed] = max(
             self.read[confirmed.feed], confirmed.delta.revision
         )
@@ -177,5 +181,10 @@
 @then('at least {share:d} % of the answers about targets confirmed both '
       'others')  # fmt: skip
 def share_confirmed(context, share):
-    proofs = [proof for one in context.histories for proof in one.proofs]
-    assert sum(proofs) >= len(proofs) * share / 100, (sum(proofs), len(proofs))
+    confirmed_both = [
+        proof for one in context.histories for proof in one.confirmed_both
+    ]
+    assert sum(confirmed_both) >= len(confirmed_both) * share / 100, (
+        sum(confirmed_both),
+        len(confirmed_both),
+    )
--- a/tests/features/steps/group_steps.py
+++ b/tests/features/steps/group_steps.py
@@ -367,10 +367,10 @@
     for number in range(count):
         context.ownership.add(f'lm-{number}', next(names))
     context.pools = [f'team-{one}/pool' for one in range(pools)]
-    context.before = owners(context)
+    context.before = find_owners(context)
 
 
-def owners(context):
+def find_owners(context):
     wanted = frozenset({'a'})
     return {
         pool: context.ownership.owner(pool, wanted) for pool in context.pools
@@ -386,7 +386,7 @@
 
 @then('only pools of "{name}" change their owner')
 def only_pools_of(context, name):
-    after = owners(context)
+    after = find_owners(context)
     for pool, owner in context.before.items():
         if owner != name:
             assert after[pool] == owner
@@ -401,7 +401,7 @@
 
 @then('the owners are as before')
 def owners_as_before(context):
-    assert owners(context) == context.before
+    assert find_owners(context) == context.before
 
 
 def parse_digests(text):
--- a/tests/features/steps/reader_steps.py
+++ b/tests/features/steps/reader_steps.py
@@ -50,11 +50,11 @@
 def reader(context):
     held = {one.key: one for one in read_objects('a at 3 and b at 4')}
     context.store = FakeStore()
-    context.handed = []
+    context.delivered = []
     context.reader = ObjectReader(
         context.store,
         lambda: held,
-        lambda objects, _source: context.handed.extend(objects),
+        lambda objects, _source: context.delivered.extend(objects),
     )
 
 
@@ -110,13 +110,13 @@
 @then('the only instance is lm-1')
 def only_instance(context):
     assert list(context.reader.instances) == ['lm-1']
-    assert [one.key for one in context.handed] == ['instance/lm-1']
+    assert [one.key for one in context.delivered] == ['instance/lm-1']
 
 
 @then('it hands on {text}')
 def hands_on(context, text):
     found = [
         f'{"no " if one.value is None else ""}{one.key} at {one.version}'
-        for one in context.handed
+        for one in context.delivered
     ]
     assert found == ([] if text == 'nothing' else [text]), found
--- a/tests/features/steps/stalls_steps.py
+++ b/tests/features/steps/stalls_steps.py
@@ -20,7 +20,6 @@
 from liftmount._internal.models import flow_messages as flows
 from liftmount._internal.models import peer_messages as wire
 from liftmount._internal.models.records import Tick
-from tests.features.steps.beliefs_steps import read_events
 from tests.features.steps.forwarding_steps import forwards
 from tests.features.steps.forwarding_steps import make_balancer
 from tests.features.steps.forwarding_steps import make_entry
@@ -28,6 +27,7 @@
 from tests.features.steps.forwarding_steps import send_data
 from tests.features.steps.link_monitor_steps import ADDRESS
 from tests.features.steps.link_monitor_steps import make_route
+from tests.features.steps.store_cache_steps import read_events
 
 START_MS = 100_000
 ANSWERS = 100
--- a/tests/features/steps/beliefs_steps.py
+++ b/tests/features/steps/store_cache_steps.py
@@ -97,14 +97,14 @@
     assert health.is_avoided('one') == (condition in ('dead', 'suspected'))
 
 
-BELIEFS = {
+ENTRY_STATES = {
     directory.EntryUpdated: 'believed',
     directory.EntryMissing: 'doubted',
     directory.EntryRemoved: 'gone',
 }
 
 
-def tell(state, events):
+def apply_events(state, events):
     """Tell a directory of events; return (last belief, time)."""
     entry = make_entry('one', 'guide', number=1)
     now_ms = START_MS
@@ -131,20 +131,20 @@
             case ['old', 'list', 'without']:
                 event = directory.TargetsListed((), 1, now_ms)
         for action in directory.decide(state, event):
-            belief = BELIEFS[type(action)]
+            belief = ENTRY_STATES[type(action)]
     return belief, now_ms
 
 
 @when('the store tells in this order: {events}')
 def store_tells(context, events):
     context.directory = directory.DirectoryState()
-    context.belief, _now_ms = tell(context.directory, events)
+    context.belief, _now_ms = apply_events(context.directory, events)
 
 
 @given('a peer that heard of a target: {events}')
 def peer_heard(context, events):
     context.peer = directory.DirectoryState()
-    _belief, context.now_ms = tell(context.peer, events)
+    _belief, context.now_ms = apply_events(context.peer, events)
 
 
 @when('the peer hands over what it knows, and {interval:d} ms go by')
@@ -158,7 +158,7 @@
     )
     for event in (handed, Tick(now_ms + interval)):
         for action in directory.decide(context.directory, event):
-            context.belief = BELIEFS[type(action)]
+            context.belief = ENTRY_STATES[type(action)]
 
 
 @then('the target is {belief}')
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -22,12 +22,12 @@
 STOP = 'tests/features/promises/planned_stop.feature'
 GROUP = 'tests/features/decisions/group.feature'
 SOAK = 'tests/features/platform/soak.feature'
-SPREADING = 'tests/features/decisions/spreading.feature'
-BELIEFS = 'tests/features/decisions/beliefs.feature'
+DISSEMINATION = 'tests/features/decisions/dissemination.feature'
+STORE_CACHE = 'tests/features/decisions/store_cache.feature'
 DOMAIN_START = 'tests/features/decisions/domain_start.feature'
 TRANSFERS = 'tests/features/platform/transfers.feature'
 EVACUATIONS = 'tests/features/decisions/evacuations.feature'
-CONFIRMING = 'tests/features/decisions/confirming.feature'
+FRESHNESS = 'tests/features/decisions/freshness.feature'
 COLD = 'tests/features/decisions/slow_start.feature'
 OWN_LINK = 'tests/features/decisions/link_monitor.feature'
 STALLS = 'tests/features/decisions/stalls.feature'
@@ -143,7 +143,7 @@
         'if item.version <= known.version:',
         'if False:',
         GROUP,
-        'never goes back',
+        'never reverts to an older version',
     ),
     Mutation(
         'configuration: peers are not asked for what differs',
@@ -159,7 +159,7 @@
         'if unchanged_ms >= event.value.duration_ms:',
         'if True:',
         GROUP,
-        'Only one of many',
+        'Only one of several',
     ),
     Mutation(
         'soak: doubted targets are handed over as listed ones',
@@ -214,16 +214,16 @@
         'decisions/dissemination.py',
         'return [RequestHeartbeat(peers)] if peers else []',
         'return []',
-        SPREADING,
-        'Who hears no beat asks peers',
+        DISSEMINATION,
+        'A member without heartbeats asks peers',
     ),
     Mutation(
         'readers: all levels of the tree begin at once',
         'decisions/dissemination.py',
         'levels = count_between(state.order, state.name)',
         'levels = 0',
-        SPREADING,
-        'those near the root read first',
+        DISSEMINATION,
+        'members near the root read first',
     ),
     Mutation(
         'readers: a transfer makes knowledge look fresh',
@@ -238,15 +238,15 @@
         'decisions/list_watch.py',
         'return Watch(RECHECK_MS, revision, IMMEDIATE_WAIT_MS)',
         'return Watch(RECHECK_MS, revision, state.times.watch_ms)',
-        BELIEFS,
-        'The store is followed without gaps',
+        STORE_CACHE,
+        'The store is listed and watched without gaps',
     ),
     Mutation(
         'readers: a watch begins anew after a pause',
         'decisions/list_watch.py',
         'left_ms = state.times.watch_ms - pause_ms - lasted_ms',
         'left_ms = state.times.watch_ms',
-        BELIEFS,
+        STORE_CACHE,
         'Each watch ends in time',
     ),
     Mutation(
@@ -279,7 +279,7 @@
         'return not (target.leaving or is_closed)',
         'return not target.leaving',
         EVACUATIONS,
-        'New flows go where nothing is evacuated',
+        'New flows go to domains that are not evacuated',
     ),
     Mutation(
         'evacuations: a copy goes to the target that got the first one',
@@ -295,7 +295,7 @@
         '        if state.evacuated is None:\n',
         '        if False:\n',
         EVACUATIONS,
-        'What opens waits until it is known',
+        'Openings wait until the evacuations are known',
     ),
     Mutation(
         'evacuations: what is older takes back what is newer',
@@ -303,7 +303,7 @@
         'if before is not None and update.revision <= before.revision:',
         'if False:',
         EVACUATIONS,
-        'The newest that anybody tells holds',
+        'The newest evacuations received are in force',
     ),
     Mutation(
         'evacuations: an evacuated domain counts slots to hand over to',
@@ -318,7 +318,7 @@
         'decisions/freshness.py',
         'return all(state.changes.get(one, feed) != feed for one in since)',
         'return True',
-        CONFIRMING,
+        FRESHNESS,
         'Random stores are never confirmed wrongly',
     ),
     Mutation(
@@ -326,16 +326,16 @@
         'decisions/freshness.py',
         '            actions.append(ReadFeed(feed))\n',
         '',
-        CONFIRMING,
-        'What is not confirmed in time is asked',
+        FRESHNESS,
+        'A kind that is not confirmed in time is queried',
     ),
     Mutation(
         'confirming: who relies on others waits no longer',
         'decisions/list_watch.py',
         'wait_ms = DEPENDENT_WATCH_MS',
         'pass',
-        BELIEFS,
-        'The store is followed without gaps',
+        STORE_CACHE,
+        'The store is listed and watched without gaps',
     ),
     Mutation(
         'cold: all of a quiet time is sent at once',
@@ -406,8 +406,8 @@
         'decisions/flow_table.py',
         'return entry.draining\n',
         'return False\n',
-        BELIEFS,
-        "Only what a target can't do while it serves proves its end",
+        STORE_CACHE,
+        'A refusal does not prove a target dead while it may be draining',
     ),
     Mutation(
         'requests at a target that restarted are left to wait',
@@ -422,16 +422,16 @@
         'decisions/directory.py',
         'if is_late and _is_other_start(state, entry):',
         'if False:',
-        BELIEFS,
-        'A start that was heard of is not taken back by what is told late',
+        STORE_CACHE,
+        'A known start of a target is not reverted by a late update',
     ),
     Mutation(
         'a newcomer trusts lists that lag',
         'decisions/dissemination.py',
         'if has_all and is_new and _is_confirmation_overdue(state, now_ms):',
         'if False:',
-        SPREADING,
-        'Who reads the store after a start',
+        DISSEMINATION,
+        'Which member reads the store after a start',
     ),
     Mutation(
         'one balancer convinces all that a target hangs',
