--- a/tests/features/decisions/evacuations.feature
+++ b/tests/features/decisions/evacuations.feature
@@ -1,5 +1,6 @@
-Feature: Nothing new goes to the targets of an evacuated failure domain
-  Pure decisions: what is known of evacuations, and where openings go.
+Feature: No new flows go to the targets of an evacuated failure domain
+  Guards against openings sent to an evacuated domain, outdated evacuations and
+  open flows that lose their targets.
 
   Background:
     Given a balancer in domain a with the targets
@@ -15,26 +16,26 @@
       | guide | 198.51.0.1:8443 | guide    |
       | tiles | 198.51.0.2:8443 | tiles    |
 
-  Scenario Outline: The newest that anybody tells holds
-    When it is told of evacuations: <news>
-    Then it holds for evacuated: <domains>
+  Scenario Outline: The newest evacuations received are in force
+    When it receives evacuations: <updates>
+    Then it considers evacuated: <domains>
 
     Examples:
-      | news                                                  | domains |
-      | listed a at 10                                        | a       |
-      | listed nothing at 10                                  | nothing |
-      | listed nothing at 10, written a at 12                 | a       |
-      | listed a b at 10, removed b at 12                     | a       |
-      | listed a at 10, written b at 12, removed a at 13      | b       |
-      | listed a at 10, removed a at 12, written a at 14      | a       |
-      | listed a at 10, listed nothing at 8                   | a       |
-      | listed a at 10, told nothing at 9                     | a       |
-      | listed nothing at 10, told a at 12                    | a       |
-      | listed nothing at 10, told a at 12, removed a at 11   | a       |
-      | told a at 12, listed nothing at 10                    | a       |
-      | told a at 12, listed nothing at 14                    | nothing |
-
-  Scenario Outline: New flows go where nothing is evacuated
+      | updates                                                | domains |
+      | listed a at 10                                         | a       |
+      | listed nothing at 10                                   | nothing |
+      | listed nothing at 10, written a at 12                  | a       |
+      | listed a b at 10, removed b at 12                      | a       |
+      | listed a at 10, written b at 12, removed a at 13       | b       |
+      | listed a at 10, removed a at 12, written a at 14       | a       |
+      | listed a at 10, listed nothing at 8                    | a       |
+      | listed a at 10, relayed nothing at 9                   | a       |
+      | listed nothing at 10, relayed a at 12                  | a       |
+      | listed nothing at 10, relayed a at 12, removed a at 11 | a       |
+      | relayed a at 12, listed nothing at 10                  | a       |
+      | relayed a at 12, listed nothing at 14                  | nothing |
+
+  Scenario Outline: New flows go to domains that are not evacuated
     Given the domains <domains> are evacuated
     When clients 1 to 20 open flows to 198.51.0.1:8443
     Then the flows are at <targets> and nowhere else
@@ -45,7 +46,7 @@
       | b       | near-1, near-2, last-1       |
       | a, b    | last-1                       |
 
-  Scenario Outline: A service without a place is refused at once
+  Scenario Outline: A service without an available target is refused at once
     Given the domains <domains> are evacuated
     When client 1 opens a flow to <address>
     Then it is answered by a reset: no_target
@@ -61,12 +62,12 @@
     Then data of client 1 is forwarded
     And no reset was sent
 
-  Scenario: Any balancer finds an open flow there by its tag
+  Scenario: Any balancer forwards an open flow to an evacuated target by its tag
     Given the domains a are evacuated
     When a segment of client 7 to 198.51.0.1:8443 arrives with the tag of near-2
     Then it is forwarded to near-2 with the tag of near-2
 
-  Scenario: Copies of an opening go elsewhere too
+  Scenario: Copies of an opening go to other domains
     Given client 1 opened a flow to 198.51.0.1:8443
     When the domains a are evacuated
     And 100 ms pass
@@ -82,7 +83,7 @@
     Then it is answered by a reset: no_target
     And the opening of client 1 was sent 1 times, to different targets
 
-  Scenario Outline: Nothing else brings an evacuated target back
+  Scenario Outline: No other event makes an evacuated target available again
     Given the domains a are evacuated
     When <trouble>
     And clients 1 to 20 open flows to 198.51.0.1:8443
@@ -92,36 +93,36 @@
       | trouble                                          |
       | in domains b, c all targets of guide are avoided |
       | in domains b, c all targets of guide die |
-      | the entry of near-1 is written anew              |
-      | the entries of near-1 and far-1 are doubted      |
+      | the entry of near-1 is written again             |
+      | the entries of near-1 and far-1 are missing      |
 
-  Scenario: What opens waits until it is known what is evacuated, what is open does not
-    Given the same balancer before it knows of evacuations
+  Scenario: Openings wait until the evacuations are known, open flows do not
+    Given the same balancer before it knows the evacuations
     When client 1 opens a flow to 198.51.0.1:8443
-    Then it is held
+    Then it is pending
     When a segment of client 7 to 198.51.0.1:8443 arrives with the tag of near-2
     Then it is forwarded to near-2 with the tag of near-2
     When the domains a, b are evacuated
     Then the opening of client 1 was sent to last-1 alone
 
-  Scenario: A domain that is taken back gets its part, and no wave
+  Scenario: A returned domain gets its share of new flows without a surge
     Given the domains b are evacuated
     And clients 1 to 400 were served one after the other at 198.51.0.1:8443
     When the domains b are no longer evacuated
     And clients 401 to 440 are served one after the other at 198.51.0.1:8443
     Then at least 4 and at most 24 of these flows were in domain b
 
-  Scenario Outline: An evacuated domain has no slots to hand over to, or to keep
+  Scenario Outline: An evacuated domain has no slots, local or remote
     Given the domains <domains> are evacuated
-    Then the load of guide counts <near> slots near and <far> far
+    Then the load of guide counts <local> local and <remote> remote slots
 
     Examples:
-      | domains | near | far |
-      | a       | 0    | 9   |
-      | b       | 6    | 3   |
-      | b, c    | 6    | 0   |
+      | domains | local | remote |
+      | a       | 0     | 9      |
+      | b       | 6     | 3      |
+      | b, c    | 6     | 0      |
 
-  Scenario Outline: An evacuated target is probed only for a flow that waits there
+  Scenario Outline: An evacuated target is probed only for a flow that waits for it
     Given client 1 has an open flow to 198.51.0.1:8443
     And the domains a are evacuated
     Then a probe of <target> is wanted: <wanted>
@@ -129,5 +130,5 @@
     Examples:
       | target                 | wanted |
       | the target of client 1 | yes    |
-      | the other near target  | no     |
+      | the other local target | no     |
       | far-1                  | yes    |
--- a/tests/features/decisions/store_cache.feature
+++ b/tests/features/decisions/store_cache.feature
@@ -1,5 +1,6 @@
-Feature: What a balancer believes, and when it doubts
-  Pure decisions on targets, the store and planned stops.
+Feature: Health of targets, entries of the store and planned stops
+  Guards against targets declared dead too early or probed too often, entries
+  removed too early, gaps in lists and watches, and stops that end too early.
 
   Scenario Outline: A target is dead only after several probes got no answer
     When evidence on a target comes in this order: <events>
@@ -39,36 +40,36 @@
       | silent, ticks x3, seen, wait 50, silent, late probe silent x4 | 5 | alive |
 
   Scenario: A target that is slow under load is not flooded with probes
-    When flows speak against a target each 20 ms for 10000 ms, and it answers each probe
+    When flows report a target unresponsive every 20 ms for 10000 ms, and it answers each probe
     Then at most 8 probes were sent
 
-  Scenario Outline: Entries that vanish are doubted before they are gone
-    When the store tells in this order: <events>
-    Then the target is <belief>
+  Scenario Outline: Entries missing from the store are kept for a time before they are removed
+    When the store sends in this order: <events>
+    Then the entry is <state>
 
     Examples:
-      | events                                             | belief   |
-      | written                                            | believed |
-      | written, removed                                   | doubted  |
-      | written, removed, wait 2600                        | gone     |
-      | written, removed, wait 1000, written, wait 3000    | believed |
-      | written, draining, removed                         | gone     |
-      | written, lost, removed                             | believed |
-      | written, lost, removed, wait 2400                  | believed |
-      | written, lost, removed, wait 2600                  | gone     |
-      | written, lost, removed, wait 1000, lost, wait 2400 | believed |
-      | written, lost, wait 1000, listed without, wait 1000, written | believed |
-      | written, listed without, wait 2600                 | gone     |
-      | written, old list without, wait 2600               | believed |
+      | events                                             | state    |
+      | written                                            | present  |
+      | written, removed                                   | missing  |
+      | written, removed, wait 2600                        | removed  |
+      | written, removed, wait 1000, written, wait 3000    | present  |
+      | written, draining, removed                         | removed  |
+      | written, lost, removed                             | present  |
+      | written, lost, removed, wait 2400                  | present  |
+      | written, lost, removed, wait 2600                  | removed  |
+      | written, lost, removed, wait 1000, lost, wait 2400 | present  |
+      | written, lost, wait 1000, listed without, wait 1000, written | present  |
+      | written, listed without, wait 2600                 | removed  |
+      | written, old list without, wait 2600               | present  |
 
-  Scenario Outline: Who is behind on an object that was changed often reads it once
-    When calls for one object that tells all end in this order: <events>
+  Scenario Outline: A watcher that is far behind lists a single object once
+    When calls for a single object end in this order: <events>
     Then the next call is <call>
 
     Examples:
       | events                                              | call                        |
       | start, listed 10 9000, paused, resumed              | exact list at once          |
-      | begun, finished 10 9000, paused, resumed            | exact list at once          |
+      | listing, finished 10 9000, paused, resumed          | exact list at once          |
       | start, listed 10 9000, paused, resumed, listed 12 9000 | watch from 12 at once    |
       | start, listed 10 9000, changed 10 by 0              | watch from 10 at once       |
       | start, listed 10 9000, changed 10 by 0, failed      | exact list after 200 ms     |
@@ -77,7 +78,7 @@
       | known 10, paused, resumed                           | brief watch from 10 at once |
       | known 10 9000, paused, resumed                      | exact list at once          |
 
-  Scenario Outline: What a newcomer read first is proven in time, however slow its start
+  Scenario Outline: The first list of a joining member is confirmed in time, however slow its start
     When a process is <age> ms old when its first list is complete
     Then it confirms the list <wait> ms later
 
@@ -89,7 +90,7 @@
       | 2600 | 0    |
       | 4000 | 0    |
 
-  Scenario Outline: How a probe ends tells apart who refuses and who is silent
+  Scenario Outline: The result of a probe distinguishes refusal from silence
     When a probe meets a target that <does>
     Then the probe is <result>
 
@@ -102,7 +103,7 @@
       | listens no more                       | refused  |
       | says nothing while the balancer is held up for 300 ms | void |
 
-  Scenario Outline: Only what a target can't do while it serves proves its end
+  Scenario Outline: A refusal does not prove a target dead while it may be draining
     Given a target that <leaving>
     When its probes are <result>, <after> ms after the update
     Then after the probes it is <belief>
@@ -123,7 +124,7 @@
       | is gone without a word   | refused  | 11000 | dead      |
       | is gone without a word   | silent   | 4000  | dead      |
 
-  Scenario Outline: A start that was heard of is not taken back by what is told late
+  Scenario Outline: A known start of a target is not reverted by a late update
     When a target of start 5 is received at revision 20, and of start <start> at revision <revision>
     Then start <believed> is kept
 
@@ -135,94 +136,94 @@
       | 7     | 19       | 5        |
       | 0     | 21       | 0        |
 
-  Scenario Outline: What a peer doubts is doubted here, for as long
-    Given a peer that heard of a target: <peer>
-    When the store tells in this order: <events>
-    And the peer hands over what it knows, and <interval> ms go by
-    Then the target is <belief>
+  Scenario Outline: An entry missing at a peer expires here at the same time
+    Given a peer to which the store sent: <peer>
+    When the store sends in this order: <events>
+    And the snapshot of the peer is applied, and <interval> ms pass
+    Then the entry is <state>
 
     Examples:
-      | peer                        | events           | interval | belief   |
-      | written                     | nothing          | 0        | believed |
-      | written                     | written          | 2600     | believed |
-      | written, removed            | written          | 0        | doubted  |
-      | written, removed            | written          | 2600     | gone     |
-      | written, removed            | nothing          | 0        | doubted  |
-      | written, removed            | nothing          | 2600     | gone     |
-      | written, removed, wait 2000 | nothing          | 400      | doubted  |
-      | written, removed, wait 2000 | nothing          | 600      | gone     |
-      | written, removed, wait 2000 | written          | 600      | gone     |
-      | written, removed            | written, removed | 2600     | gone     |
-      | written, removed, wait 2600 | written          | 2600     | gone     |
-      | written, lost, removed      | written          | 0        | doubted  |
+      | peer                        | events           | interval | state    |
+      | written                     | nothing          | 0        | present  |
+      | written                     | written          | 2600     | present  |
+      | written, removed            | written          | 0        | missing  |
+      | written, removed            | written          | 2600     | removed  |
+      | written, removed            | nothing          | 0        | missing  |
+      | written, removed            | nothing          | 2600     | removed  |
+      | written, removed, wait 2000 | nothing          | 400      | missing  |
+      | written, removed, wait 2000 | nothing          | 600      | removed  |
+      | written, removed, wait 2000 | written          | 600      | removed  |
+      | written, removed            | written, removed | 2600     | removed  |
+      | written, removed, wait 2600 | written          | 2600     | removed  |
+      | written, lost, removed      | written          | 0        | missing  |
 
-  Scenario Outline: The store is followed without gaps
+  Scenario Outline: The store is listed and watched without gaps
     When calls end in this order: <events>
     Then the next call is <call>
 
     Examples:
-      | events                                     | call                       |
-      | start                                      | list that may lag at once  |
-      | start, listed 10                           | brief watch from 10 at once |
-      | known 10                                   | brief watch from 10 after 2000 ms |
-      | begun                                      | the rest of the list       |
-      | begun, finished 10                         | brief watch from 10 after 2000 ms |
-      | begun, known 10                            | brief watch from 10 after 2000 ms |
-      | begun, paused, finished 10                 | none                       |
-      | begun, paused, known 10                    | none                       |
-      | begun, paused, failed                      | none                       |
-      | begun, paused, failed, resumed             | list that may lag at once  |
-      | begun, paused, known 10, resumed           | brief watch from 10 at once |
-      | start, paused, resumed, listed 10          | brief watch from 10 at once |
-      | start, listed 10, paused                   | none                       |
-      | start, listed 10, paused, known 20, hurried | none                      |
-      | start, listed 10, known 20                 | none                       |
-      | start, listed 10, paused, resumed, failed  | brief watch from 10 after 200 ms |
-      | start, listed 10, paused, helping, failed  | brief watch from 10 after 1500 ms |
-      | start, listed 10, paused, helping, failed, failed | brief watch from 10 after 1500 ms |
-      | start, paused, failed, helping, failed     | list that may lag after 400 ms |
-      | begun, failed                              | list that may lag after 200 ms |
-      | known 10, hurried                          | brief watch from 10 at once |
-      | known 10, failed                           | brief watch from 10 after 200 ms |
-      | known 10, gone                             | exact list at once         |
-      | start, listed 10, changed 12 by 1          | watch from 12 after 700 ms |
-      | start, listed 10, changed 12 by 0          | watch from 12 at once      |
-      | start, listed 10, failed                   | brief watch from 10 after 200 ms |
-      | start, listed 10, failed, failed           | brief watch from 10 after 400 ms |
-      | start, listed 10, failed x20               | brief watch from 10 after 1500 ms |
-      | start, listed 10, gone                     | exact list at once         |
-      | start, listed 10, gone, failed             | exact list after 200 ms    |
-      | start, listed 10, gone, listed 8           | watch from 10 at once      |
-      | start, listed 10, changed 12 by 1, hurried | brief watch from 12 at once |
-      | start, hurried                             | none                       |
-      | begun, hurried                             | none                       |
-      | start, failed, hurried                     | none                       |
-      | start, listed 10, gone, hurried            | none                       |
-      | start, failed                              | list that may lag after 200 ms |
-      | start, listed 10, failed, changed 11 by 0  | watch from 11 at once      |
-      | start, listed 10, failed, changed 11 by 1  | watch from 11 after 700 ms |
-      | start, listed 10, confirmed 12               | none                       |
-      | start, listed 10, confirmed 12, changed 12 by 0 | long watch from 12 at once |
-      | start, listed 10, confirmed 12, changed 13 by 1 | long watch from 13 after 700 ms |
-      | start, listed 10, confirmed 12, failed       | brief watch from 12 after 2800 ms |
-      | start, listed 10, confirmed 12, failed, confirmed 13 | long watch from 13 at once |
-      | start, listed 10, confirmed 12, hurried      | brief watch from 12 at once |
-      | start, listed 10, confirmed 12, hurried, changed 12 by 0 | watch from 12 at once |
-      | start, listed 10, confirmed 12, hurried, failed | brief watch from 12 after 200 ms |
-      | start, listed 10, confirmed 12, gone         | exact list at once         |
-      | start, listed 10, gone, confirmed 12         | none                       |
-      | start, confirmed 12                          | none                       |
-      | start, listed 10, paused, confirmed 12       | none                       |
-      | start, listed 10, confirmed 12, paused, resumed | brief watch from 12 at once |
-      | start, listed 10, confirmed 12, paused, resumed, changed 12 by 0 | watch from 12 at once |
-      | start, listed 10, paused, relying          | brief watch from 10 at once |
-      | start, listed 10, paused, relying, changed 12 by 0 | long watch from 12 at once |
+      | events                                                           | call                              |
+      | start                                                            | list that may lag at once         |
+      | start, listed 10                                                 | brief watch from 10 at once       |
+      | known 10                                                         | brief watch from 10 after 2000 ms |
+      | listing                                                          | the rest of the list              |
+      | listing, finished 10                                             | brief watch from 10 after 2000 ms |
+      | listing, known 10                                                | brief watch from 10 after 2000 ms |
+      | listing, paused, finished 10                                     | none                              |
+      | listing, paused, known 10                                        | none                              |
+      | listing, paused, failed                                          | none                              |
+      | listing, paused, failed, resumed                                 | list that may lag at once         |
+      | listing, paused, known 10, resumed                               | brief watch from 10 at once       |
+      | start, paused, resumed, listed 10                                | brief watch from 10 at once       |
+      | start, listed 10, paused                                         | none                              |
+      | start, listed 10, paused, known 20, refresh                      | none                              |
+      | start, listed 10, known 20                                       | none                              |
+      | start, listed 10, paused, resumed, failed                        | brief watch from 10 after 200 ms  |
+      | start, listed 10, paused, fallback, failed                       | brief watch from 10 after 1500 ms |
+      | start, listed 10, paused, fallback, failed, failed               | brief watch from 10 after 1500 ms |
+      | start, paused, failed, fallback, failed                          | list that may lag after 400 ms    |
+      | listing, failed                                                  | list that may lag after 200 ms    |
+      | known 10, refresh                                                | brief watch from 10 at once       |
+      | known 10, failed                                                 | brief watch from 10 after 200 ms  |
+      | known 10, gone                                                   | exact list at once                |
+      | start, listed 10, changed 12 by 1                                | watch from 12 after 700 ms        |
+      | start, listed 10, changed 12 by 0                                | watch from 12 at once             |
+      | start, listed 10, failed                                         | brief watch from 10 after 200 ms  |
+      | start, listed 10, failed, failed                                 | brief watch from 10 after 400 ms  |
+      | start, listed 10, failed x20                                     | brief watch from 10 after 1500 ms |
+      | start, listed 10, gone                                           | exact list at once                |
+      | start, listed 10, gone, failed                                   | exact list after 200 ms           |
+      | start, listed 10, gone, listed 8                                 | watch from 10 at once             |
+      | start, listed 10, changed 12 by 1, refresh                       | brief watch from 12 at once       |
+      | start, refresh                                                   | none                              |
+      | listing, refresh                                                 | none                              |
+      | start, failed, refresh                                           | none                              |
+      | start, listed 10, gone, refresh                                  | none                              |
+      | start, failed                                                    | list that may lag after 200 ms    |
+      | start, listed 10, failed, changed 11 by 0                        | watch from 11 at once             |
+      | start, listed 10, failed, changed 11 by 1                        | watch from 11 after 700 ms        |
+      | start, listed 10, confirmed 12                                   | none                              |
+      | start, listed 10, confirmed 12, changed 12 by 0                  | long watch from 12 at once        |
+      | start, listed 10, confirmed 12, changed 13 by 1                  | long watch from 13 after 700 ms   |
+      | start, listed 10, confirmed 12, failed                           | brief watch from 12 after 2800 ms |
+      | start, listed 10, confirmed 12, failed, confirmed 13             | long watch from 13 at once        |
+      | start, listed 10, confirmed 12, refresh                          | brief watch from 12 at once       |
+      | start, listed 10, confirmed 12, refresh, changed 12 by 0         | watch from 12 at once             |
+      | start, listed 10, confirmed 12, refresh, failed                  | brief watch from 12 after 200 ms  |
+      | start, listed 10, confirmed 12, gone                             | exact list at once                |
+      | start, listed 10, gone, confirmed 12                             | none                              |
+      | start, confirmed 12                                              | none                              |
+      | start, listed 10, paused, confirmed 12                           | none                              |
+      | start, listed 10, confirmed 12, paused, resumed                  | brief watch from 12 at once       |
+      | start, listed 10, confirmed 12, paused, resumed, changed 12 by 0 | watch from 12 at once             |
+      | start, listed 10, paused, dependent                              | brief watch from 10 at once       |
+      | start, listed 10, paused, dependent, changed 12 by 0             | long watch from 12 at once        |
 
-  Scenario Outline: Each watch ends in time to prove freshness
+  Scenario Outline: Each watch ends in time to confirm freshness
     Given changes have to be in force within <bound_ms> ms
     When a watch ends with <count> changes after a transfer of <lasted_ms> ms
     Then the next watch begins after <pause_ms> ms and waits <wait_ms> ms
-    And members are told in time, whenever the next watch ends
+    And members are informed in time, whenever the next watch ends
 
     Examples:
       | bound_ms | count | lasted_ms | pause_ms | wait_ms |
@@ -237,7 +238,7 @@
       | 90000    | 0     | 0         | 0        | 12500   |
       | 1000     | 0     | 0         | 0        | 2800    |
 
-  Scenario Outline: Trouble with the store is said once, and its end
+  Scenario Outline: The loss of the store and its return are reported once each
     When calls end in this order: <events>
     Then the store was lost <lost> times and regained <regained> times
 
--- a/tests/features/steps/bootstrap_steps.py
+++ b/tests/features/steps/bootstrap_steps.py
@@ -1,4 +1,4 @@
-"""Steps on newcomers that learn of the other balancers."""
+"""Steps on joining balancers that learn the other members."""
 
 import random
 from types import SimpleNamespace
@@ -57,7 +57,7 @@
     sent_bytes: dict = Factory(dict)
 
     def start(self, record, at_ms):
-        """Start a balancer; return when it asks, and in which turn."""
+        """Start a balancer; return (time, attempt, peer) of its requests."""
         state = membership.make_membership(record, TIMES, self.seeds, at_ms)
         self.states[record.peer] = state
         return [
@@ -66,17 +66,17 @@
         ]
 
     def run(self, asks):
-        """Let everyone ask, in the order of time."""
+        """Make all requests in the order of time."""
         for now_ms, attempt, peer in sorted(asks, key=lambda one: one[:2]):
             self.ask(peer, attempt, now_ms)
 
     def ask(self, peer, attempt, now_ms):
-        """Let one balancer ask in one turn."""
+        """Make the requests of one balancer in one attempt."""
         state = self.states[peer]
         local = self.local_members(state)
-        whom = bootstrap.peers_to_ask(state.own, attempt, state.seeds, local)
+        peers = bootstrap.peers_to_ask(state.own, attempt, state.seeds, local)
         wanted = bootstrap.answers_needed(attempt)
-        for other in whom:
+        for other in peers:
             if wanted and other in self.states and other not in self.down:
                 self.answer(self.states[other], state, now_ms)
                 wanted -= 1
@@ -90,13 +90,13 @@
         ]
 
     def answer(self, asked, asker, now_ms):
-        """Let one balancer tell another what it knows."""
-        asked_of = wire.decode_member(wire.encode_member(asker.own))
-        membership.learn_all(asked, [asked_of], now_ms)
+        """Send the members that one balancer knows to another."""
+        record = wire.decode_member(wire.encode_member(asker.own))
+        membership.learn_all(asked, [record], now_ms)
         known = [asked.own, *asked.reachable()]
-        data = wire.encode_members(bootstrap.members_to_send(known, asked_of))
-        told = self.sent_bytes.get(asked.own.peer, 0)
-        self.sent_bytes[asked.own.peer] = told + len(data)
+        data = wire.encode_members(bootstrap.members_to_send(known, record))
+        sent = self.sent_bytes.get(asked.own.peer, 0)
+        self.sent_bytes[asked.own.peer] = sent + len(data)
         membership.learn_all(asker, wire.decode_members(data), now_ms)
 
 
@@ -129,7 +129,7 @@
     record = make_record(len(context.records), context.fleet.domains)
     asks = context.fleet.start(record, START_MS + after)
     context.fleet.run(asks[:1])
-    context.newcomer = record
+    context.last = record
 
 
 def domain_names(context, domain):
@@ -150,9 +150,9 @@
         assert found == wanted, (state.own.name, len(found), len(wanted))
 
 
-@then('each knows all members of its own domain within 1 turn of the last one')
-def newcomer_knows_all(context):
-    state = context.fleet.states[context.newcomer.peer]
+@then('the last one knows all members of its own domain after 1 attempt')
+def last_knows_all(context):
+    state = context.fleet.states[context.last.peer]
     wanted = domain_names(context, state.own.failure_domain)
     found = {one.name for one in context.fleet.local_members(state)}
     assert found | {state.own.name} == wanted, wanted - found
@@ -173,21 +173,22 @@
                 assert len(known) >= count, (state.own.name, domain)
 
 
-@then('no balancer told more than {most:d} bytes')
-def told_at_most(context, most):
+@then('no balancer sent more than {most:d} bytes')
+def sent_at_most(context, most):
     found = max(context.fleet.sent_bytes.values())
     assert found <= most, found
 
 
-@given('a newcomer that knows the seeds s1 and s2, and {near:d} near members')
-def newcomer(context, local):
+@given('a joining balancer that knows the seeds s1 and s2, and {local:d} '
+       'local members')  # fmt: skip
+def joining_balancer(context, local):
     context.own = make_record(99, 1)
     context.seeds = (Endpoint('10.9.0.1', 1), Endpoint('10.9.0.2', 1))
     context.local_members = [make_record(number, 1) for number in range(local)]
 
 
-@then('in turn {turn:d} it asks {whom}')
-def asks_in_turn(context, attempt, whom):
+@then('in attempt {attempt:d} it asks {peers}')
+def asks_in_attempt(context, attempt, peers):
     found = bootstrap.peers_to_ask(
         context.own, attempt, context.seeds, context.local_members
     )
@@ -195,7 +196,7 @@
         context.own, 0, context.seeds, context.local_members
     )
     members = {one.peer for one in context.local_members}
-    match whom:
+    match peers:
         case 'seeds':
             assert set(found) == set(context.seeds), found
         case 'the other seed first':
@@ -204,18 +205,18 @@
             assert set(found[:2]) <= members and len(set(found[:2])) == 2
             assert set(found[2:]) == set(context.seeds), found
         case _:
-            raise AssertionError(whom)
+            raise AssertionError(peers)
 
 
 def make_store_cache():
-    """Return the beliefs of a balancer that knows nothing."""
+    """Return an empty store cache."""
     state = ForwardingState('a', FLOW_MAX_AGE_MS)
     return StoreCache(state, StructuredLog(ManualClock(START_MS)))
 
 
 @given('a balancer that knows targets up to revision {revision:d} and routes '
        'of version {version:d}')  # fmt: skip
-def knowing_balancer(context, revision, version):
+def balancer_with_targets(context, revision, version):
     context.store_cache = make_store_cache()
     entries = (make_entry('one', 'guide'), make_entry('two', 'guide'))
     table = RouteTable(version, {}, {}, 15_000)
@@ -227,45 +228,45 @@
     )
 
 
-@when('all its targets vanish from the store')
-def targets_vanish(context):
+@when('all its targets disappear from the store')
+def targets_disappear(context):
     listing = Listing((), context.store_cache.directory.revision + 1)
     context.store_cache.apply_feed_update(
         FeedUpdate(TARGETS, listing), START_MS
     )
 
 
-@when('a newcomer takes over what it is told')
-def newcomer_takes_over(context):
-    context.newcomer = make_store_cache()
+@when('a joining balancer applies its snapshot')
+def joining_applies_snapshot(context):
+    context.joining_cache = make_store_cache()
     data = wire.encode_snapshot(context.store_cache.snapshot(START_MS))
-    context.newcomer.apply_snapshot(wire.decode_snapshot(data), START_MS)
+    context.joining_cache.apply_snapshot(wire.decode_snapshot(data), START_MS)
 
 
-@then('the newcomer knows {count:d} targets')
-def newcomer_knows(context, count):
-    entries = context.newcomer.state.tags.entries
+@then('the joining balancer holds {count:d} targets')
+def joining_holds(context, count):
+    entries = context.joining_cache.state.tags.entries
     assert len(entries) == count, entries
-    assert context.newcomer.state.is_complete
+    assert context.joining_cache.state.is_complete
 
 
-@when('somebody asks who knows revision {revision:d} and version {version:d}')
-def somebody_asks(context, revision, version):
-    known = context.store_cache.snapshot(START_MS, revision, version)
-    context.told = wire.decode_snapshot(wire.encode_snapshot(known))
+@when('a peer asks that holds revision {revision:d} and version {version:d}')
+def peer_asks(context, revision, version):
+    snapshot = context.store_cache.snapshot(START_MS, revision, version)
+    context.received = wire.decode_snapshot(wire.encode_snapshot(snapshot))
 
 
-@then('it is told {count:d} targets and {routes}')
-def told_parts(context, count, routes):
-    assert len(context.told.targets) == count, context.told
-    assert (context.told.table is not None) == (routes == 'the routes')
+@then('it receives {count:d} targets and {routes}')
+def received_parts(context, count, routes):
+    assert len(context.received.targets) == count, context.received
+    assert (context.received.table is not None) == (routes == 'the routes')
 
 
-@when('8 peers ask for {asked}, {event} before the last 4')
-def many_ask(context, asked, event):
+@when('8 peers request {requested}, {event} before the last 4')
+def many_request(context, requested, event):
     clock = ManualClock(START_MS)
     server = SnapshotServer(context.store_cache, clock, Metrics())
-    answers = [server.answer(asked) for _ in range(4)]
+    answers = [server.answer(requested) for _ in range(4)]
     match event.split():
         case [interval, 'ms', *_]:
             clock.advance(int(interval))
@@ -276,19 +277,19 @@
             context.store_cache.apply_feed_update(
                 FeedUpdate(TARGETS, delta), START_MS
             )
-    answers += [server.answer(asked) for _ in range(4)]
+    answers += [server.answer(requested) for _ in range(4)]
     context.answers = answers
 
 
-@then('it has made {made:d} answers, and the last one tells {count:d} '
+@then('it has made {made:d} answers, and the last one holds {count:d} '
       'targets')  # fmt: skip
 def answers_made(context, made, count):
     assert len({id(one) for one in context.answers}) == made
-    told = wire.decode_snapshot(context.answers[-1].body)
-    assert len(told.targets) == count, told
+    last = wire.decode_snapshot(context.answers[-1].body)
+    assert len(last.targets) == count, last
 
 
-@when('a beat and a question arrive while the sockets are bound')
+@when('a heartbeat and a heartbeat request arrive while the sockets are bound')
 def datagrams_arrive_early(context):
     options = GroupOptions(
         name='one',
@@ -322,11 +323,11 @@
     assert found == count, found
 
 
-@when('a peer asks for {questions} or nothing')
-def ask_badly(context, questions):
+@when('a peer requests {requests} or nothing')
+def request_malformed(context, requests):
     server = SnapshotServer(context.store_cache, ManualClock(0), Metrics())
-    asked = [*questions.split(', '), '']
-    context.answers = [server.answer(one) for one in asked]
+    requested = [*requests.split(', '), '']
+    context.answers = [server.answer(one) for one in requested]
 
 
 @then('it refuses all of them')
--- a/tests/features/steps/dissemination_steps.py
+++ b/tests/features/steps/dissemination_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the spreading of news within a failure domain."""
+"""Steps on the dissemination of changes within a failure domain."""
 
 import random
 
@@ -40,7 +40,7 @@
 def make_heartbeat(
     sender='b', age_ms=0, base=10, targets=10, version=3, **more
 ):
-    """Return a beat without changes, unless told otherwise."""
+    """Return a heartbeat, by default one without changes."""
     return wire.Heartbeat(
         sender=sender,
         age_ms=age_ms,
@@ -54,7 +54,7 @@
 
 
 def make_member(name='me', order=('b', 'me'), revision=10):
-    """Return a member that has run for a long time and knows something."""
+    """Return a member that has run for a long time and holds data."""
     state = dissemination.DisseminationState(
         name, START_MS - 60_000, is_reader=False
     )
@@ -73,9 +73,9 @@
     context.now_ms = START_MS
 
 
-@given('a member that has just started and knows {known}')
-def member_started(context, known):
-    known, _comma, how = known.partition(', ')
+@given('a member that has just started and holds {held}')
+def member_started(context, held):
+    held, _comma, how = held.partition(', ')
     began_ms = START_MS
     if how.startswith('after'):
         began_ms -= int(how.split()[-2])
@@ -85,10 +85,10 @@
     dissemination.decide(
         context.state, dissemination.RelayOrderChanged(('b', 'me'))
     )
-    if known == 'all':
+    if held == 'all':
         event = dissemination.RevisionsChanged(10, 5, 3, NONE_EVACUATED)
         dissemination.decide(context.state, event)
-    if how == 'proven':
+    if how == 'confirmed':
         for feed in context.state.feeds:
             update = Listing((), 5)
             event = dissemination.StoreAnswered(feed, update, START_MS)
@@ -96,41 +96,41 @@
     context.now_ms = START_MS
 
 
-@when('{interval:d} ms with beats of age {age:d}, then {more:d} ms '
+@when('{interval:d} ms with heartbeats of age {age:d}, then {more:d} ms '
       'without')  # fmt: skip
-def beats_then_none(context, interval, age, more):
+def heartbeats_then_none(context, interval, age, more):
     advance(context, interval, age)
     advance(context, more, None)
 
 
-@when('{interval:d} ms with beats of age {age:d}, then {more:d} ms with '
-      'beats of age {other:d}')  # fmt: skip
-def beats_then_others(context, interval, age, more, other):
+@when('{interval:d} ms with heartbeats of age {age:d}, then {more:d} ms '
+      'with heartbeats of age {other:d}')  # fmt: skip
+def heartbeats_then_others(context, interval, age, more, other):
     advance(context, interval, age)
     advance(context, more, other)
 
 
-@when('{interval:d} ms without a beat, then {more:d} ms with beats of '
-      'age {age:d}')  # fmt: skip
-def none_then_beats(context, interval, more, age):
+@when('{interval:d} ms without a heartbeat, then {more:d} ms with '
+      'heartbeats of age {age:d}')  # fmt: skip
+def none_then_heartbeats(context, interval, more, age):
     advance(context, interval, None)
     advance(context, more, age)
 
 
-@when('{interval:d} ms with beats of age {age:d}')
-def with_beats(context, interval, age):
+@when('{interval:d} ms with heartbeats of age {age:d}')
+def with_heartbeats(context, interval, age):
     advance(context, interval, age)
 
 
-@when('{interval:d} ms without a beat')
-def without_beats(context, interval):
+@when('{interval:d} ms without a heartbeat')
+def without_heartbeats(context, interval):
     advance(context, interval, None)
 
 
 def advance(context, interval_ms, age_ms):
-    """Let time pass, with beats of an age, or none."""
+    """Advance the time, with heartbeats of an age or with none."""
     state = context.state
-    context.asked = 0
+    context.requested = 0
     until_ms = context.now_ms + interval_ms
     while context.now_ms < until_ms:
         context.now_ms += TICK_MS
@@ -143,20 +143,20 @@
                 state, dissemination.HeartbeatReceived(heartbeat, now_ms)
             )
         done = dissemination.decide(state, Tick(now_ms))
-        context.asked += sum(
+        context.requested += sum(
             isinstance(one, dissemination.RequestHeartbeat) for one in done
         )
 
 
-@when('{interval:d} ms with beats of age {age} go by')
-def beats_go_by(context, interval, age):
+@when('{interval:d} ms with heartbeats of age {age} pass')
+def heartbeats_pass(context, interval, age):
     advance(context, interval, None if age == 'none' else int(age))
 
 
-@then('it has asked for beats: {asked}')
-def has_asked(context, asked):
-    wanted = {'no': (0,), 'once': (1, 2), 'yes': (1,)}[asked]
-    assert context.asked in wanted, context.asked
+@then('it has requested heartbeats: {requested}')
+def has_requested(context, requested):
+    wanted = {'no': (0,), 'once': (1, 2), 'yes': (1,)}[requested]
+    assert context.requested in wanted, context.requested
 
 
 @then('it reads the store: {answer}')
@@ -187,7 +187,7 @@
     assert context.actions == [wanted], context.actions
 
 
-@given('{count:d} members of a domain that hear no beat any more')
+@given('{count:d} members of a domain that no longer receive heartbeats')
 def many_members(context, count):
     names = [f'm{index:02}' for index in range(count)]
     context.began = []
@@ -208,14 +208,14 @@
     assert len(set(began)) > 4, began
 
 
-@given('a member that knows targets up to revision {revision:d}')
+@given('a member that holds targets up to revision {revision:d}')
 def member_with_revision(context, revision):
     context.state = make_member(revision=revision)
     context.actions = []
 
 
-@when('a beat brings changes from revision {base:d} to {revision:d}')
-def beat_with_changes(context, base, revision):
+@when('a heartbeat carries changes from revision {base:d} to {revision:d}')
+def heartbeat_with_changes(context, base, revision):
     entry = make_entry('new', 'guide')
     heartbeat = make_heartbeat(base=base, targets=revision, written=(entry,))
     context.actions = dissemination.decide(
@@ -223,8 +223,8 @@
     )
 
 
-@when('beats of version {version:d} arrive {times:d} times within 100 ms')
-def beats_of_version(context, version, times):
+@when('heartbeats of version {version:d} arrive {times:d} times within 100 ms')
+def heartbeats_of_version(context, version, times):
     for index in range(times):
         heartbeat = make_heartbeat(version=version)
         event = dissemination.HeartbeatReceived(
@@ -233,9 +233,9 @@
         context.actions += dissemination.decide(context.state, event)
 
 
-@when('beats of version {version:d} arrive from {senders} for {span:d} ms, '
-      'and {what}')  # fmt: skip
-def beats_while_pulling(context, version, senders, span, what):
+@when('heartbeats of version {version:d} arrive from {senders} for '
+      '{span:d} ms, and {what}')  # fmt: skip
+def heartbeats_while_pulling(context, version, senders, span, what):
     context.actions = []
     for now_ms in range(START_MS, START_MS + span, HEARTBEAT_INTERVAL_MS):
         for sender in senders.replace(' and ', ', ').split(', '):
@@ -255,10 +255,10 @@
     assert kinds.count(dissemination.Pull) == pulls, context.actions
 
 
-@then('it takes over {taken:d} changes and pulls {pulls:d} times')
-def taken_and_pulled(context, taken, pulls):
+@then('it applies {applied:d} changes and pulls {pulls:d} times')
+def applied_and_pulled(context, applied, pulls):
     kinds = [type(one) for one in context.actions]
-    assert kinds.count(dissemination.ApplyDelta) == taken, context.actions
+    assert kinds.count(dissemination.ApplyDelta) == applied, context.actions
     assert kinds.count(dissemination.Pull) == pulls, context.actions
 
 
@@ -275,7 +275,7 @@
 
 
 class Domain:
-    """Members of a domain, what they hold, and beats on their way."""
+    """Members of a domain and the entries that each holds."""
 
     def __init__(self, size):
         self.names = [f'm{index:03}' for index in range(size)]
@@ -290,20 +290,20 @@
         self.sizes = []
 
     def read(self, name, delta):
-        """Let a member read a change from the store."""
+        """Apply a change that a member reads from the store."""
         self.apply(name, delta)
         event = dissemination.StoreAnswered(TARGETS, delta, self.now_ms)
         dissemination.decide(self.members[name], event)
 
     def apply(self, name, delta):
-        """Take a change over into what a member holds."""
+        """Apply a change to the entries that a member holds."""
         for entry in delta.written:
             self.held[name][entry.name] = entry
         for gone in delta.removed:
             self.held[name].pop(gone, None)
 
     def round(self, is_lost=lambda sender, receiver: False, alive=None):
-        """Send one round of beats, all at the same time."""
+        """Send one round of heartbeats, all at the same time."""
         self.now_ms += HEARTBEAT_INTERVAL_MS
         heartbeats = []
         for name in alive or self.names:
@@ -321,7 +321,7 @@
                 self.deliver(receiver, wire.decode_heartbeat(data))
 
     def deliver(self, receiver, heartbeat):
-        """Hand a beat over and do what the receiver wants done."""
+        """Deliver a heartbeat and execute the actions of its receiver."""
         state = self.members[receiver]
         event = dissemination.HeartbeatReceived(heartbeat, self.now_ms)
         for one in dissemination.decide(state, event):
@@ -336,14 +336,14 @@
                     self.copy(one.peer, receiver)
 
     def copy(self, source, receiver):
-        """Let a member take over all that another one holds."""
+        """Copy all entries of one member to another."""
         self.held[receiver] = dict(self.held[source])
         revision = self.members[source].targets_revision
         event = dissemination.RevisionsChanged(revision, 5, 3, NONE_EVACUATED)
         dissemination.decide(self.members[receiver], event)
 
 
-@given('a domain of {size:d} members that all know revision 10')
+@given('a domain of {size:d} members that all hold revision 10')
 def domain_of(context, size):
     context.domain = Domain(size)
 
@@ -362,8 +362,8 @@
     send_evacuations_to_root(context, update)
 
 
-@when('the root reads that domain {domain} is evacuated no more at revision '
-      '{revision:d}')  # fmt: skip
+@when('the root reads that domain {domain} is no longer evacuated at '
+      'revision {revision:d}')  # fmt: skip
 def root_reads_return(context, domain, revision):
     send_evacuations_to_root(
         context, Delta((), (domain,), revision, revision - 1)
@@ -371,29 +371,29 @@
 
 
 def send_evacuations_to_root(context, update):
-    """Let the first member hear of evacuations from the store."""
+    """Deliver a store update on evacuations to the first member."""
     domain = context.domain
     domain.round()
     event = dissemination.StoreAnswered(EVACUATIONS, update, domain.now_ms)
     dissemination.decide(domain.members[domain.names[0]], event)
 
 
-@then('every member holds {names} for evacuated after {rounds:d} rounds of '
-      'beats')  # fmt: skip
-def members_hold_evacuated(context, names, rounds):
+@then('every member considers {names} evacuated after {rounds:d} rounds of '
+      'heartbeats')  # fmt: skip
+def members_consider_evacuated(context, names, rounds):
     wanted = frozenset() if names == 'nothing' else frozenset([names])
     domain = context.domain
     for _ in range(rounds):
         domain.round()
     for name, state in domain.members.items():
         assert state.evacuations.known.domains == wanted, name
-        # The root knows it from the store, and takes over nothing.
+        # The root read it from the store and applies no update.
         if name != domain.names[0]:
             assert domain.evacuated[name].domains == wanted, name
 
 
-@then('its next tick sends beats that tell of {name}')
-def next_beats_tell(context, name):
+@then('its next tick sends heartbeats that contain {name}')
+def next_heartbeats_contain(context, name):
     domain = context.domain
     root = domain.members[domain.names[0]]
     (sent,) = [
@@ -427,7 +427,7 @@
 
 
 def change_member(context, text):
-    """Let something happen to one member."""
+    """Apply one event to a member."""
     name, _blank, event = text.partition(' ')
     if name == 'none':
         return
@@ -444,12 +444,12 @@
     assert found == order.split(', '), found
 
 
-@when('the first round of beats is lost')
+@when('the first round of heartbeats is lost')
 def round_lost(context):
     context.domain.round(is_lost=lambda sender, receiver: True)
 
 
-@then('every member holds revision 12 after {rounds:d} rounds of beats')
+@then('every member holds revision 12 after {rounds:d} rounds of heartbeats')
 def all_hold(context, rounds):
     domain = context.domain
     for _ in range(rounds):
@@ -459,22 +459,23 @@
         assert domain.held[name] == {'new': context.entry}, name
 
 
-@then('no member sent more than 8 beats a round')
-def few_beats(context):
+@then('no member sent more than 8 heartbeats a round')
+def few_heartbeats(context):
     assert max(context.domain.sent) <= FANOUT
 
 
-@then('no beat was larger than {most:d} bytes')
-def small_beats(context, most):
+@then('no heartbeat was larger than {most:d} bytes')
+def small_heartbeats(context, most):
     assert max(context.domain.sizes) <= most, max(context.domain.sizes)
 
 
-@then('nobody pulled')
-def nobody_pulled(context):
+@then('no member pulled')
+def none_pulled(context):
     assert context.domain.pulls == 0
 
 
-@when('{count:d} random histories of a domain of {size:d} members are played')
+@when('{count:d} random histories of a domain of {size:d} members are '
+      'simulated')  # fmt: skip
 def random_histories(context, count, size):
     context.ends = []
     for seed in range(count):
@@ -482,7 +483,7 @@
 
 
 def simulate_history(rng, size):
-    """Play one history; return (what the store held, what members held)."""
+    """Simulate a history; return (entries of the store, of each member)."""
     domain = Domain(size)
     store = {}
     revision = 10
@@ -506,8 +507,7 @@
             revision,
             base,
         )
-        # The root reads, and sometimes a member that heard nothing; the
-        # root itself misses nothing, as it watches from what it holds.
+        # The root misses no change, as it watches from the revision it holds.
         domain.read(domain.names[0], delta)
         loss = rng.choice((0.0, 0.3, 0.9))
         alive = [domain.names[0]]
@@ -523,7 +523,7 @@
     return store, domain.held
 
 
-@then('every member holds what the store held')
+@then('every member holds the same entries as the store')
 def all_equal(context):
     for store, held in context.ends:
         for name, found in held.items():
@@ -531,14 +531,14 @@
 
 
 def random_entry(rng):
-    """Return some target."""
+    """Return a random target."""
     number = rng.randrange(2**64)
     name = f'i-{number:x}'
     return make_entry(name, f's{number % 5}', 'abc'[number % 3], number)
 
 
 def random_heartbeat(rng):
-    """Return some beat."""
+    """Return a random heartbeat."""
     entries = tuple(random_entry(rng) for _ in range(rng.randrange(5)))
     return make_heartbeat(
         age_ms=rng.randrange(9_000),
@@ -550,7 +550,7 @@
 
 
 def random_snapshot(rng):
-    """Return some targets and routes."""
+    """Return a random snapshot of targets and routes."""
     routes = {}
     for index in range(rng.randrange(5)):
         address = Endpoint('198.51.100.1', 1 + index)
@@ -559,21 +559,25 @@
         routes[address] = Route(f'r{index}', address, kind, shares, 2, 200)
     table = RouteTable(rng.randrange(99), routes, {'guide': '/health'}, 15_000)
     entries = tuple(random_entry(rng) for _ in range(rng.randrange(9)))
-    doubted = tuple(
+    missing = tuple(
         Expiring(random_entry(rng), rng.randrange(2_500))
         for _ in range(rng.randrange(3))
     )
-    former = tuple(
+    retired = tuple(
         Expiring(random_entry(rng), rng.randrange(60_000))
         for _ in range(rng.randrange(3))
     )
     table = rng.choice((None, table))
-    return Snapshot(entries, 7, table, 8, doubted, former)
+    return Snapshot(entries, 7, table, 8, missing, retired)
 
 
 CODECS = {
-    'beats': (random_heartbeat, wire.encode_heartbeat, wire.decode_heartbeat),
-    'knowledge': (
+    'heartbeats': (
+        random_heartbeat,
+        wire.encode_heartbeat,
+        wire.decode_heartbeat,
+    ),
+    'snapshots': (
         random_snapshot,
         wire.encode_snapshot,
         wire.decode_snapshot,
@@ -591,13 +595,13 @@
         context.pairs.append((one, decode(encode(one))))
 
 
-@then('they come back as they were')
-def come_back(context):
+@then('each equals its original')
+def equals_original(context):
     for before, after in context.pairs:
         assert before == after, (before, after)
 
 
-@when('{count:d} random messages of peers are read')
+@when('{count:d} random messages of peers are decoded')
 def random_messages(context, count):
     rng = random.Random(5)
     context.outcomes = set()
@@ -615,9 +619,9 @@
                     context.outcomes.add('refused')
 
 
-@then('each was read or refused')
-def each_read(context):
-    # Anything but a PacketError has failed the step before.
+@then('each was decoded or refused')
+def each_decoded(context):
+    # Any exception other than PacketError fails the previous step.
     allowed = {'refused', 'Heartbeat', 'Snapshot', 'list'}
     assert 'refused' in context.outcomes <= allowed, context.outcomes
 
@@ -633,8 +637,8 @@
     context.record = make_record('me', incarnation)
 
 
-@when('its process restarts with incarnation {incarnation:d} and hears of '
-      'the former one')  # fmt: skip
+@when('its process restarts with incarnation {incarnation:d} and receives '
+      'the record of the former one')  # fmt: skip
 def restarts(context, incarnation):
     own = make_record('me', incarnation)
     times = membership.MembershipTimes()
@@ -658,13 +662,13 @@
     context.count = count
 
 
-@then('it knows all of them and has none of them to tell')
+@then('it knows all of them and gossips none of them')
 def knows_all(context):
     assert len(context.members.members) == context.count
     assert not set(context.members.gossip) & set(context.members.members)
 
 
-@given('a domain of {count:d} members whose root hears nothing from the '
+@given('a domain of {count:d} members whose root gets no answer from the '
        'store')  # fmt: skip
 def domain_without_store(context, count):
     context.domain = Domain(count)
@@ -673,8 +677,8 @@
         state.jitter = index % 8 / 8
 
 
-@when('the store {answers} those who ask, for 8 s')
-def old_beats(context, answers):
+@when('the store {answers} the members that ask, for 8 s')
+def old_heartbeats(context, answers):
     domain = context.domain
     context.began = {}
     start_ms = domain.now_ms
@@ -692,13 +696,13 @@
                         lasted_ms = domain.now_ms - start_ms
                         context.began.setdefault(name, lasted_ms)
                         if answers == 'answers':
-                            answer(state, domain.now_ms)
+                            confirm_unchanged(state, domain.now_ms)
         for child, heartbeat in heartbeats:
             domain.deliver(child, heartbeat)
 
 
-def answer(state, now_ms):
-    """Let the store say that nothing has changed."""
+def confirm_unchanged(state, now_ms):
+    """Let the store answer that nothing has changed."""
     for feed in state.feeds:
         update = Delta((), (), state.targets_revision, state.targets_revision)
         event = dissemination.StoreAnswered(feed, update, now_ms)
@@ -719,11 +723,12 @@
 
 
 class RequestingDomain:
-    """A domain whose members also ask for beats.
+    """A domain whose members also request heartbeats.
 
-    ``is_lost(sender, receiver)`` tells of beats, ``answers(sender,
-    receiver)`` of those that were asked for.  Whoever is called ``remote`` is
-    in another domain, and knows what the store said ``remote_age_ms`` ago.
+    ``is_lost(sender, receiver)`` decides whether a heartbeat is lost,
+    ``answers(sender, receiver)`` whether a requested one is delivered.  The
+    member ``remote`` is in another domain and holds data that the store
+    confirmed ``remote_age_ms`` ago.
     """
 
     def __init__(self, domain, is_lost, answers, remote_age_ms=None):
@@ -734,21 +739,21 @@
         self.began = {}
 
     def run(self, interval_ms, is_store_up):
-        """Let time pass."""
+        """Run the domain for an interval."""
         domain = self.domain
         until_ms = domain.now_ms + interval_ms
         while domain.now_ms < until_ms:
             domain.now_ms += TICK_MS
             for state in domain.members.values():
                 if is_store_up and state.is_reader:
-                    answer(state, domain.now_ms)
+                    confirm_unchanged(state, domain.now_ms)
             for name, state in domain.members.items():
                 event = Tick(domain.now_ms)
                 for one in dissemination.decide(state, event):
                     self.execute(name, one)
 
     def execute(self, name, action):
-        """Do what a member decided."""
+        """Execute an action of a member."""
         match action:
             case dissemination.SendHeartbeat(heartbeat, receivers):
                 for receiver in receivers:
@@ -756,55 +761,55 @@
                         self.domain.deliver(receiver, heartbeat)
             case dissemination.RequestHeartbeat(peers):
                 for peer in peers:
-                    self.ask(name, peer)
+                    self.request(name, peer)
             case dissemination.SetStoreReader(True):
                 self.began[name] = self.domain.now_ms
 
-    def ask(self, name, peer):
-        """Let a peer answer."""
-        if peer == 'far':
-            heartbeat = make_heartbeat('far', self.remote_age_ms)
+    def request(self, name, peer):
+        """Request a heartbeat from a peer and deliver its answer."""
+        if peer == 'remote':
+            heartbeat = make_heartbeat('remote', self.remote_age_ms)
             self.domain.deliver(name, heartbeat)
         elif self.answers(peer, name):
             event = dissemination.HeartbeatRequested(name, self.domain.now_ms)
-            (told,) = dissemination.decide(self.domain.members[peer], event)
-            self.domain.deliver(name, told.heartbeat)
+            (sent,) = dissemination.decide(self.domain.members[peer], event)
+            self.domain.deliver(name, sent.heartbeat)
 
 
-@when('beats of parents to every third member are lost for {interval:d} s, '
-      'and {answers}')  # fmt: skip
-def beats_to_some_lost(context, interval, answers):
+@when('heartbeats of parents to every third member are lost for '
+      '{interval:d} s, and {answers}')  # fmt: skip
+def heartbeats_to_some_lost(context, interval, answers):
     domain = context.domain
     random.seed(3)
     lost = domain.names[1::3]
     shares = {
-        'those asked answer': 1.0,
+        'the peers answer': 1.0,
         'a fifth of the answers is lost': 0.8,
-        'those asked answer nothing': 0.0,
+        'the peers do not answer': 0.0,
     }
-    asking = RequestingDomain(
+    requesting = RequestingDomain(
         domain,
         lambda _sender, receiver: receiver in lost,
         lambda _sender, _receiver: random.random() < shares[answers],
     )
     for state in domain.members.values():
         state.is_reader = state.is_root
-    asking.run(1_000 * interval, is_store_up=True)
-    context.began = asking.began
+    requesting.run(1_000 * interval, is_store_up=True)
+    context.began = requesting.began
 
 
-@when('a member of another domain knows what the store said {age:d} ms ago')
-def far_member_knows(context, age):
+@when('a member of another domain holds data confirmed {age:d} ms ago')
+def remote_member_holds(context, age):
     for state in context.domain.members.values():
-        state.remote = ('far',)
-    asking = RequestingDomain(
+        state.remote = ('remote',)
+    requesting = RequestingDomain(
         context.domain,
         lambda _sender, _receiver: False,
         lambda _sender, _receiver: True,
         age,
     )
-    asking.run(8_000, is_store_up=False)
-    context.began = asking.began
+    requesting.run(8_000, is_store_up=False)
+    context.began = requesting.began
 
 
 @when('the store answers for both kinds: {answers}')
@@ -824,10 +829,10 @@
             dissemination.decide(context.state, event)
 
 
-@then('its knowledge is {age} ms old')
-def knowledge_is_old(context, age):
-    known_ms = context.state.last_confirmed_ms()
+@then('its data is {age} ms old')
+def data_is_old(context, age):
+    confirmed_ms = context.state.last_confirmed_ms()
     if age == 'unknown':
-        assert known_ms == dissemination.NEVER_MS, known_ms
+        assert confirmed_ms == dissemination.NEVER_MS, confirmed_ms
     else:
-        assert context.now_ms - known_ms == int(age), known_ms
+        assert context.now_ms - confirmed_ms == int(age), confirmed_ms
--- a/tests/features/steps/evacuations_steps.py
+++ b/tests/features/steps/evacuations_steps.py
@@ -1,4 +1,4 @@
-"""Steps on evacuations: what is known of them, and where openings go."""
+"""Steps on evacuations: their updates, and where openings go."""
 
 from behave import given
 from behave import step
@@ -17,12 +17,12 @@
 
 GUIDE = '198.51.0.1:8443'
 AVOIDED_MS = 5_000
-# How long a flow is open; shorter than the wait for a first answer.
+# Shorter than the wait for a first answer.
 SERVED_MS = 60
 
 
 def read_update(text):
-    """Return what is told by words such as ``written a b at 12``."""
+    """Return the update of words such as ``written a b at 12``."""
     words, _at, revision = text.rpartition(' at ')
     kind, *domains = words.split()
     domains = () if domains == ['nothing'] else tuple(domains)
@@ -30,7 +30,7 @@
     match kind:
         case 'listed':
             return Listing(domains, revision)
-        case 'told':
+        case 'relayed':
             return Evacuated(frozenset(domains), revision)
         case 'written':
             return Delta(domains, (), revision)
@@ -39,20 +39,20 @@
     raise ValueError(text)
 
 
-@when('it is told of evacuations: {news}')
-def told_of_evacuations(context, news):
+@when('it receives evacuations: {updates}')
+def receives_evacuations(context, updates):
     context.evacuations = EvacuationState()
     context.changes = []
-    for part in news.split(', '):
+    for part in updates.split(', '):
         found = evacuations.decide(context.evacuations, read_update(part))
         context.changes += found
 
 
-@then('it holds for evacuated: {domains}')
-def holds_for_evacuated(context, domains):
+@then('it considers evacuated: {domains}')
+def considers_evacuated(context, domains):
     wanted = frozenset() if domains == 'nothing' else frozenset(domains)
     assert context.evacuations.known.domains == wanted, context.evacuations
-    # Whoever takes over each change ends up with the same.
+    # Applying each change leads to the same domains.
     assert context.changes[-1].domains == wanted, context.changes
 
 
@@ -109,13 +109,13 @@
             report_health(context.balancer, entry.name)
 
 
-@when('the entry of {name} is written anew')
+@when('the entry of {name} is written again')
 def entry_written(context, name):
     context.balancer.put(context.entries[name])
 
 
-@when('the entries of {first} and {second} are doubted')
-def entries_doubted(context, first, second):
+@when('the entries of {first} and {second} are missing')
+def entries_missing(context, first, second):
     balancer = context.balancer
     for name in (first, second):
         put = flows.TargetPut(context.entries[name], balancer.now_ms, True)
@@ -128,13 +128,13 @@
     assert len(found) == len(context.opened) and 'a' not in found, found
 
 
-@given('the same balancer before it knows of evacuations')
+@given('the same balancer before it knows the evacuations')
 def before_evacuations(context):
     context.balancer.state.evacuated = None
 
 
-@then('it is held')
-def is_held(context):
+@then('it is pending')
+def is_pending(context):
     assert not context.balancer.last, context.balancer.last
     assert len(context.balancer.state.pending) == 1
 
@@ -166,14 +166,14 @@
     assert least <= found <= most, found
 
 
-@then('the load of guide counts {near:d} slots near and {far:d} far')
-def slots_counted(context, near, far):
+@then('the load of guide counts {local:d} local and {remote:d} remote slots')
+def slots_counted(context, local, remote):
     balancer = context.balancer
     pools = list(balancer.state.pools)
     loads = domain_loads(balancer.state, 1, balancer.now_ms)
     load = loads[pools.index('guide')]
     found = (load.local_slots, load.remote_slots, load.remote_alive_slots)
-    assert found == (near, far, far), found
+    assert found == (local, remote, remote), found
 
 
 @then('a probe of {target} is wanted: {answer}')
@@ -182,7 +182,7 @@
     own = balancer.flow(1).target
     names = {
         'the target of client 1': own,
-        'the other near target': 'near-1' if own == 'near-2' else 'near-2',
+        'the other local target': 'near-1' if own == 'near-2' else 'near-2',
     }
     found = is_probe_wanted(balancer.state, names.get(target, target))
     assert found == (answer == 'yes'), target
--- a/tests/features/steps/freshness_steps.py
+++ b/tests/features/steps/freshness_steps.py
@@ -1,4 +1,4 @@
-"""Steps on which answers of the store prove which kinds of objects."""
+"""Steps on which answers of the store confirm which kinds of objects."""
 
 import random
 
@@ -60,9 +60,13 @@
     known = context.state.known
     found = tuple(known.get(feed, 0) for feed in freshness.DEPENDENT_FEEDS)
     assert found == (routes, evacuations), found
-    # Whoever is not told a feed's change itself is told by a Confirm.
-    told = [one for one in context.actions if type(one) is freshness.Confirm]
-    assert all(one.delta.revision <= known[one.feed] for one in told), told
+    # A feed without an answer of its own is advanced by a Confirm.
+    confirms = [
+        one for one in context.actions if type(one) is freshness.Confirm
+    ]
+    assert all(one.delta.revision <= known[one.feed] for one in confirms), (
+        confirms
+    )
 
 
 @when('a call for {feed} fails')
@@ -75,8 +79,8 @@
     assert context.failures == count, context.failures
 
 
-@then('the feeds {feeds} are asked')
-def feeds_asked(context, feeds):
+@then('the feeds {feeds} are queried')
+def feeds_queried(context, feeds):
     found = sorted(
         one.feed
         for one in context.actions
@@ -102,7 +106,7 @@
         self.wrong = []
 
     def run(self, steps):
-        """Let the store change and answer."""
+        """Change the store, query it and deliver its answers."""
         freshness.decide(self.state, freshness.ReadingStarted())
         for _ in range(steps):
             self.now_ms += self.rng.randrange(1, TICK_MS)
@@ -119,7 +123,7 @@
                 self.deliver(self.pending_answers.pop(index))
 
     def query(self, feed):
-        """Let the store answer what changed since it was asked last."""
+        """Queue an answer with the changes since the last query."""
         if any(one.feed == feed for one in self.pending_answers):
             return
         revision = len(self.changes)
@@ -140,7 +144,7 @@
         )
 
     def deliver(self, event):
-        """Take over an answer; note what it confirmed."""
+        """Deliver an answer and check what it confirmed."""
         self.delivered[event.feed] = event.update.revision
         found = freshness.decide(self.state, event)
         for one in found:
@@ -151,11 +155,11 @@
             self.confirmed_both.append(kinds.count(freshness.Confirm) == 2)
 
     def check(self, confirmed):
-        """See that nothing of a feed changed that was not told."""
-        unseen = range(
+        """Record a feed that is confirmed despite an undelivered change."""
+        undelivered = range(
             self.delivered[confirmed.feed] + 1, confirmed.delta.revision + 1
         )
-        if any(self.changes[one - 1] == confirmed.feed for one in unseen):
+        if any(self.changes[one - 1] == confirmed.feed for one in undelivered):
             self.wrong.append(confirmed)
         self.delivered[confirmed.feed] = confirmed.delta.revision
         self.read[confirmed.feed] = max(
@@ -163,7 +167,7 @@
         )
 
 
-@when('{count:d} random histories of a store are followed, where answers '
+@when('{count:d} random histories of a store are simulated, where answers '
       '{answers}')  # fmt: skip
 def random_stores(context, count, answers):
     rng = random.Random(SEED)
@@ -179,10 +183,10 @@
 
 
 @then('at least {share:d} % of the answers about targets confirmed both '
-      'others')  # fmt: skip
+      'other kinds')  # fmt: skip
 def share_confirmed(context, share):
     confirmed_both = [
-        proof for one in context.histories for proof in one.confirmed_both
+        both for one in context.histories for both in one.confirmed_both
     ]
     assert sum(confirmed_both) >= len(confirmed_both) * share / 100, (
         sum(confirmed_both),
--- a/tests/features/steps/group_steps.py
+++ b/tests/features/steps/group_steps.py
@@ -35,7 +35,7 @@
 
 
 class Group:
-    """Members that exchange messages on a clock moved by hand."""
+    """Members that exchange messages on a manual clock."""
 
     def __init__(self, size):
         self.now_ms = 0
@@ -70,7 +70,9 @@
             if not isinstance(action, membership.SendDatagram):
                 continue
             receiver = int(action.destination.ip.rpartition('.')[2])
-            if receiver in self.silent or self.is_cut(sender, receiver):
+            if receiver in self.silent or self.is_partitioned(
+                sender, receiver
+            ):
                 continue
             tag, message = cbor2.loads(action.datagram)
             assert tag == PEER_MEMBERSHIP
@@ -79,7 +81,7 @@
             further = membership.decide(self.states[receiver], arrived)
             self.deliver(receiver, further)
 
-    def is_cut(self, one, other):
+    def is_partitioned(self, one, other):
         return self.halves is not None and one % 2 != other % 2
 
 
@@ -106,46 +108,46 @@
             assert known.incarnation == other.own.incarnation
 
 
-@when('member {number:d} goes silent')
-def goes_silent(context, number):
+@when('member {number:d} stops responding')
+def stops_responding(context, number):
     context.group.silent.add(number)
 
 
-@when('member {number:d} speaks again')
-def speaks_again(context, number):
+@when('member {number:d} responds again')
+def responds_again(context, number):
     context.group.silent.discard(number)
 
 
-@when('member {number:d} starts anew')
-def starts_anew(context, number):
+@when('member {number:d} restarts')
+def member_restarts(context, number):
     group = context.group
     group.states[number] = group.make(number, Endpoint('10.0.0.1', 1), 2)
 
 
-@then('all others hold member {number:d} for dead')
-def hold_dead(context, number):
+@then('all others consider member {number:d} dead')
+def considered_dead(context, number):
     for other, state in context.group.states.items():
         if other != number:
             status = state.members[f'lm-{number}'].status
             assert status is MemberStatus.DEAD, (other, status)
 
 
-@when('the members are cut into two halves')
-def cut_halves(context):
+@when('the members are partitioned into two halves')
+def partition_halves(context):
     context.group.halves = True
 
 
-@when('the cut is healed')
-def heal(context):
+@when('the partition is healed')
+def heal_partition(context):
     context.group.halves = None
 
 
-@then('each half holds the other for dead')
+@then('each half considers the other dead')
 def halves_dead(context):
     for number, state in context.group.states.items():
         for one in state.members.values():
             other = int(one.name.removeprefix('lm-'))
-            expected = not context.group.is_cut(number, other)
+            expected = not context.group.is_partitioned(number, other)
             assert one.reachable == expected, (number, one)
 
 
@@ -158,7 +160,7 @@
 
 
 class LeaseStore:
-    """A store of one lease, and the members that want it."""
+    """A store of one lease and the members that compete for it."""
 
     def __init__(self, duration_ms):
         self.value = None
@@ -187,7 +189,7 @@
         lease.decide(state, written)
 
     def tick(self, name):
-        """Carry out all steps that a tick asks for."""
+        """Execute all steps that a tick returns."""
         state = self.state(name)
         state.next_step_ms = 0
         for step in lease.decide(state, Tick(self.now_ms)):
@@ -219,12 +221,12 @@
 
 
 @when('"{name}" tries to take it')
-@when('"{name}" renews with what it knew')
+@when('"{name}" renews with its outdated state')
 def try_lease(context, name):
     store = context.lease
     state = store.state(name)
     if name == 'a':
-        # It was paused, so it still believes that it holds the lease.
+        # After the pause its state still says that it holds the lease.
         state.held_until_ms = store.now_ms + 1
     store.tick(name)
 
@@ -246,7 +248,7 @@
     assert (value.holder, value.epoch) == (name, epoch), value
 
 
-@then('whatever the order of reads and writes, one holds the lease')
+@then('for any order of reads and writes at most one holds the lease')
 def one_holder(_context):
     names = ('a', 'b', 'c')
     step = st.tuples(st.sampled_from(names), st.integers(0, 3_000))
@@ -293,8 +295,8 @@
         context.claims[address] = (10, found)
 
 
-@given('it is asked for by "{teams}"')
-def asked_by(context, teams):
+@given('it is requested by "{teams}"')
+def requested_by(context, teams):
     services = [make_service(team) for team in teams.split(',')]
     address = parse_endpoint(context.address)
     context.view = ConfigurationView(wanted={address: services})
@@ -410,26 +412,26 @@
 
 
 @given(
-    'balancer "{name}" holds digest "{own}" and is told "{told}" '
-    'by child "{child}"'
+    'balancer "{name}" holds digest "{own}" and receives "{received}" '
+    'from child "{child}"'
 )
-def reports_of(context, name, own, told, child):
+def reports_of(context, name, own, received, child):
     context.reports = SubtreeReports(name, own.encode())
-    context.reports.note_child(child, parse_digests(told))
+    context.reports.note_child(child, parse_digests(received))
 
 
-@when('child "{child}" leaves it')
-def child_leaves(context, child):
+@when('child "{child}" is removed')
+def child_removed(context, child):
     context.reports.drop_child(child)
 
 
-@then('it reports "{told}"')
-def it_reports(context, told):
-    assert context.reports.combined() == parse_digests(told)
+@then('it reports "{expected}"')
+def it_reports(context, expected):
+    assert context.reports.combined() == parse_digests(expected)
 
 
-@then('for any order of arrival every store ends alike and never reverts')
-def stores_alike(_context):
+@then('for any order of arrival all stores converge and never revert')
+def stores_converge(_context):
     items = [
         StoredObject(f'drain/t{name}', version, value)
         for version, name, value in (
--- a/tests/features/steps/reader_steps.py
+++ b/tests/features/steps/reader_steps.py
@@ -21,17 +21,17 @@
 
 @define
 class FakeStore:
-    """Answers with what a step has put there."""
+    """A store whose answers are set by the steps."""
 
     listings: dict = Factory(dict)
     delta: Delta | None = None
 
     async def list(self, kind):
-        """Return a list; an empty one for other kinds."""
+        """Return the list of a kind, by default an empty one."""
         return self.listings.get(kind, Listing((), BASE))
 
     async def watch(self, kind, revision, wait_ms):
-        """Return the changes that a step has put there."""
+        """Return the changes that a step has set."""
         if self.delta is None:
             raise HistoryGoneError(kind)
         return self.delta
@@ -67,11 +67,11 @@
 
 @when('a watch up to revision {revision:d} brings {what}')
 def watch_brings(context, revision, what):
-    same = Listing(read_objects('a at 3 and b at 4'), BASE)
-    context.store.listings[TEAM] = same
+    unchanged = Listing(read_objects('a at 3 and b at 4'), BASE)
+    context.store.listings[TEAM] = unchanged
     asyncio.run(context.reader.list_all())
-    if what.startswith('the end of '):
-        removed = (what.removeprefix('the end of '),)
+    if what.startswith('the deletion of '):
+        removed = (what.removeprefix('the deletion of '),)
         context.store.delta = Delta((), removed, revision, BASE)
     else:
         written = read_objects(what)
@@ -86,7 +86,7 @@
         asyncio.run(context.reader.watch(TEAM, WAIT_MS))
     except HistoryGoneError:
         return
-    raise AssertionError('the watch did not tell')
+    raise AssertionError('the watch did not raise HistoryGoneError')
 
 
 @then('it may not watch until it has listed')
@@ -113,8 +113,8 @@
     assert [one.key for one in context.delivered] == ['instance/lm-1']
 
 
-@then('it hands on {text}')
-def hands_on(context, text):
+@then('it delivers {text}')
+def delivers(context, text):
     found = [
         f'{"no " if one.value is None else ""}{one.key} at {one.version}'
         for one in context.delivered
--- a/tests/features/steps/store_cache_steps.py
+++ b/tests/features/steps/store_cache_steps.py
@@ -1,4 +1,4 @@
-"""Steps on beliefs: health of targets, the directory, the store, stops."""
+"""Steps on target health, the directory, list and watch, planned stops."""
 
 from behave import given
 from behave import then
@@ -69,9 +69,9 @@
     context.health = health
 
 
-@when('flows speak against a target each {gap_ms:d} ms for {interval:d} ms, '
-      'and it answers each probe')  # fmt: skip
-def steady_doubts(context, gap_ms, interval):
+@when('flows report a target unresponsive every {gap_ms:d} ms for '
+      '{interval:d} ms, and it answers each probe')  # fmt: skip
+def steady_reports(context, gap_ms, interval):
     health = target_health.TargetHealth()
     context.probes = 0
     for now_ms in range(START_MS, START_MS + interval, gap_ms):
@@ -98,17 +98,17 @@
 
 
 ENTRY_STATES = {
-    directory.EntryUpdated: 'believed',
-    directory.EntryMissing: 'doubted',
-    directory.EntryRemoved: 'gone',
+    directory.EntryUpdated: 'present',
+    directory.EntryMissing: 'missing',
+    directory.EntryRemoved: 'removed',
 }
 
 
 def apply_events(state, events):
-    """Tell a directory of events; return (last belief, time)."""
+    """Apply events to a directory; return (last state of the entry, time)."""
     entry = make_entry('one', 'guide', number=1)
     now_ms = START_MS
-    belief = 'unknown'
+    entry_state = 'unknown'
     for revision, words in enumerate(read_events(events), 10):
         match words:
             case ['nothing']:
@@ -131,55 +131,55 @@
             case ['old', 'list', 'without']:
                 event = directory.TargetsListed((), 1, now_ms)
         for action in directory.decide(state, event):
-            belief = ENTRY_STATES[type(action)]
-    return belief, now_ms
+            entry_state = ENTRY_STATES[type(action)]
+    return entry_state, now_ms
 
 
-@when('the store tells in this order: {events}')
-def store_tells(context, events):
+@when('the store sends in this order: {events}')
+def store_sends(context, events):
     context.directory = directory.DirectoryState()
-    context.belief, _now_ms = apply_events(context.directory, events)
+    context.entry_state, _now_ms = apply_events(context.directory, events)
 
 
-@given('a peer that heard of a target: {events}')
-def peer_heard(context, events):
+@given('a peer to which the store sent: {events}')
+def peer_with_events(context, events):
     context.peer = directory.DirectoryState()
-    _belief, context.now_ms = apply_events(context.peer, events)
+    _entry_state, context.now_ms = apply_events(context.peer, events)
 
 
-@when('the peer hands over what it knows, and {interval:d} ms go by')
-def peer_hands_over(context, interval):
+@when('the snapshot of the peer is applied, and {interval:d} ms pass')
+def snapshot_applied(context, interval):
     now_ms = context.now_ms
-    handed = directory.TargetsListed(
+    listed = directory.TargetsListed(
         context.peer.listed(),
         context.peer.revision,
         now_ms,
         context.peer.missing_entries(now_ms),
     )
-    for event in (handed, Tick(now_ms + interval)):
+    for event in (listed, Tick(now_ms + interval)):
         for action in directory.decide(context.directory, event):
-            context.belief = ENTRY_STATES[type(action)]
+            context.entry_state = ENTRY_STATES[type(action)]
 
 
-@then('the target is {belief}')
-def belief_is(context, belief):
-    assert context.belief == belief, context.belief
+@then('the entry is {state}')
+def entry_is(context, state):
+    assert context.entry_state == state, context.entry_state
 
 
 CALLS = (list_watch.Finish, list_watch.List, list_watch.Watch)
 CALL_EVENTS = {
     'start': list_watch.Started,
-    'begun': list_watch.ListInProgress,
+    'listing': list_watch.ListInProgress,
     'known': list_watch.ListKnown,
     'finished': list_watch.Finished,
     'listed': list_watch.Listed,
     'changed': list_watch.Changed,
     'gone': list_watch.HistoryGone,
-    'hurried': list_watch.RefreshRequested,
+    'refresh': list_watch.RefreshRequested,
     'paused': list_watch.Paused,
-    'helping': lambda: list_watch.Resumed(None, is_fallback=True),
+    'fallback': lambda: list_watch.Resumed(None, is_fallback=True),
     'resumed': lambda: list_watch.Resumed(None),
-    'relying': lambda: list_watch.Resumed(None, is_dependent=True),
+    'dependent': lambda: list_watch.Resumed(None, is_dependent=True),
     'confirmed': list_watch.Confirmed,
     'failed': lambda: list_watch.CallFailed('no answer'),
 }
@@ -190,14 +190,14 @@
     follow_events(context, list_watch.ListWatchState(jitter=MIDDLE), events)
 
 
-@when('calls for one object that tells all end in this order: {events}')
-def calls_for_one_end(context, events):
+@when('calls for a single object end in this order: {events}')
+def single_object_calls_end(context, events):
     state = list_watch.ListWatchState(jitter=MIDDLE, is_one_object=True)
     follow_events(context, state, events)
 
 
 def follow_events(context, state, events):
-    """Tell what follows a kind how its calls ended."""
+    """Apply the results of calls to the list-watch state."""
     context.reports = []
     for words in read_events(events):
         word, *numbers = [one for one in words if one != 'by']
@@ -249,12 +249,12 @@
     assert context.call == list_watch.Watch(pause, 12, wait), context.call
 
 
-@then('members are told in time, whenever the next watch ends')
-def told_in_time(context):
+@then('members are informed in time, whenever the next watch ends')
+def informed_in_time(context):
     call = context.call
-    proof_ms = context.lasted_ms + call.after_ms + call.wait_ms
+    confirmed_ms = context.lasted_ms + call.after_ms + call.wait_ms
     levels_ms = 2 * dissemination.HEARTBEAT_INTERVAL_MS
-    assert proof_ms + levels_ms < context.times.stale_ms, proof_ms
+    assert confirmed_ms + levels_ms < context.times.stale_ms, confirmed_ms
 
 
 @then('the store was lost {lost:d} times and regained {regained:d} times')
@@ -267,16 +267,16 @@
 @when('a stopping balancer sees: {events}')
 def stopping_sees(context, events):
     now_ms = START_MS
-    leaving = ShutdownState(now_ms, now_ms + STOP_MS)
+    shutdown = ShutdownState(now_ms, now_ms + STOP_MS)
     for words in read_events(events):
         match words:
             case ['wait', interval]:
                 now_ms += int(interval)
             case ['refusal']:
-                leaving.record_refusal()
+                shutdown.record_refusal()
             case ['packet']:
-                leaving.record_packet(now_ms)
-    context.may_end = leaving.may_end(now_ms)
+                shutdown.record_packet(now_ms)
+    context.may_end = shutdown.may_end(now_ms)
 
 
 @then('it may end: {answer}')
