--- a/tests/features/steps/forwarding_steps.py
+++ b/tests/features/steps/forwarding_steps.py
@@ -355,15 +355,20 @@
     target = balancer.openings(1)[index]
     number = balancer.state.tags.entries[target].number
     found = send_data(balancer, 1, '198.51.0.1:8443', tag=tag_of(number))
-    context.__dict__.setdefault('sent', []).extend(forwards(found))
+    context.__dict__.setdefault('forwarded_with_tag', []).extend(
+        forwards(found)
+    )
 
 
 @then('both are forwarded to its first target with the tag of that target')
 def both_to_first(context):
     first = context.balancer.openings(1)[0]
-    assert [one.target.name for one in context.sent] == [first, first]
+    assert [one.target.name for one in context.forwarded_with_tag] == [
+        first,
+        first,
+    ]
     number = context.balancer.state.tags.entries[first].number
-    assert {one.tag for one in context.sent} == {tag_of(number)}
+    assert {one.tag for one in context.forwarded_with_tag} == {tag_of(number)}
 
 
 @when('the target {name} of {service} with number {number:d} becomes known')
