--- a/tests/features/steps/caller_steps.py
+++ b/tests/features/steps/caller_steps.py
@@ -19,21 +19,21 @@
 from liftmount._internal.network.udp import UdpSocket
 from liftmount.client import Client
 
-GRANTS = {'first': 1, 'second': 2}
-COPIES = 3
+GRANT_IDS = {'first': 1, 'second': 2}
+MIN_COPIES = 3
 
 
-class Script:
+class ScriptedBalancer:
     """Plays the balancers, as the scenario has laid down."""
 
     def __init__(self):
         self.grants = ()
         self.regrant = None
-        self.gone = 0
-        self.seen = []
+        self.home_gone_answers = 0
+        self.received = []
         self.socket = None
         self.outcome = None
-        self.second_is_not_run = False
+        self.refuses_second = False
 
     async def run(self, deadline_ms, repeatable=False):
         local = Endpoint('127.0.0.1', 0)
@@ -44,13 +44,13 @@
             )
         # The caller's last packets are on their way still.
         await asyncio.sleep(0)
-        while self.regrant and not self.of(Close):
+        while self.regrant and not self.packets_of(Close):
             await asyncio.sleep(0.01)
         self.socket.close()
 
     def on_datagram(self, data, source):
         packet = decode_packet(data)
-        self.seen.append(packet)
+        self.received.append(packet)
         match packet:
             case Open() | Keepalive():
                 for name in self.grants:
@@ -59,41 +59,44 @@
                 self.on_request(packet, source)
 
     def grant(self, flow_id, name, source):
-        opened = Opened(flow_id, name.encode(), GRANTS[name])
+        opened = Opened(flow_id, name.encode(), GRANT_IDS[name])
         self.socket.send(encode_packet(opened), source)
 
     def on_request(self, packet, source):
-        first = self.of(Request)[0]
-        if self.second_is_not_run and packet.flow_id != first.flow_id:
+        first = self.packets_of(Request)[0]
+        if self.refuses_second and packet.flow_id != first.flow_id:
             answer = Answer(packet.flow_id, packet.number, verdict='not_run')
             self.socket.send(encode_packet(answer), source)
             return
         if self.regrant:
             self.grant(packet.flow_id, self.regrant, source)
-        for _ in range(self.gone):
+        for _ in range(self.home_gone_answers):
             refused = Refused(packet.flow_id, packet.number, 'home_gone')
             self.socket.send(encode_packet(refused), source)
-        if not self.gone and len(self.of(Request)) >= COPIES:
+        if (
+            not self.home_gone_answers
+            and len(self.packets_of(Request)) >= MIN_COPIES
+        ):
             answer = Answer(packet.flow_id, packet.number, body=b'done')
             self.socket.send(encode_packet(answer), source)
 
-    def of(self, kind):
-        return [one for one in self.seen if isinstance(one, kind)]
+    def packets_of(self, kind):
+        return [one for one in self.received if isinstance(one, kind)]
 
 
 @given('a caller that opens a flow')
 def caller_opens(context):
-    context.script = Script()
+    context.balancer = ScriptedBalancer()
 
 
 @when('the flow is granted as "first"')
 def granted_once(context):
-    context.script.grants = ('first',)
+    context.balancer.grants = ('first',)
 
 
 @when('the flow is granted as "first" and later as "second" too')
 def granted_twice(context):
-    context.script.grants = ('first', 'second')
+    context.balancer.grants = ('first', 'second')
 
 
 @when('the caller sends a request that may not be repeated')
@@ -103,46 +106,48 @@
 
 @when('"second" is granted again before the answer')
 def granted_again(context):
-    context.script.regrant = 'second'
-    asyncio.run(context.script.run(context.deadline_ms))
+    context.balancer.regrant = 'second'
+    asyncio.run(context.balancer.run(context.deadline_ms))
 
 
 @when('{count:d} balancers say that the home is gone')
 def home_gone(context, count):
-    context.script.gone = count
-    asyncio.run(context.script.run(context.deadline_ms))
+    context.balancer.home_gone_answers = count
+    asyncio.run(context.balancer.run(context.deadline_ms))
 
 
 @when('the home is gone for its first try, and its second is not run')
 def second_not_run(context):
-    context.script.gone = 3
-    context.script.second_is_not_run = True
-    asyncio.run(context.script.run(20_000, repeatable=True))
+    context.balancer.home_gone_answers = 3
+    context.balancer.refuses_second = True
+    asyncio.run(context.balancer.run(20_000, repeatable=True))
 
 
 @when('nobody answers until the deadline')
-def nobody_answers(context):
-    asyncio.run(context.script.run(300))
+def no_answers(context):
+    asyncio.run(context.balancer.run(300))
 
 
 @then('every copy of the request carries the token "{token}"')
 def one_token(context, token):
-    copies = context.script.of(Request)
-    assert len(copies) >= COPIES
+    copies = context.balancer.packets_of(Request)
+    assert len(copies) >= MIN_COPIES
     assert {one.token for one in copies} == {token.encode()}, copies
 
 
 @then('the token "{token}" is closed')
 def token_closed(context, token):
-    closed = {one.token for one in context.script.of(Close)}
+    closed = {one.token for one in context.balancer.packets_of(Close)}
     assert token.encode() in closed, closed
 
 
 @then('the outcome is "{verdict}"')
 def outcome_is(context, verdict):
-    assert context.script.outcome.verdict.value == verdict
+    assert context.balancer.outcome.verdict.value == verdict
 
 
 @then('no copy is sent under another token')
 def no_other_token(context):
-    assert {one.token for one in context.script.of(Request)} == {b'first'}
+    assert {one.token for one in context.balancer.packets_of(Request)} == {
+        b'first'
+    }
--- a/tests/features/steps/deployment_steps.py
+++ b/tests/features/steps/deployment_steps.py
@@ -22,7 +22,7 @@
 SHORT_LEASE = {'duration_ms': 1_500}
 
 
-def start(context, plan, linked, settings=None):
+def start_deployment(context, plan, linked, settings=None):
     """Start a deployment for the scenario."""
     directory = Path(context.directory)
     deployment = Deployment(
@@ -35,18 +35,18 @@
 
 @given('a linked "{plan}" deployment')
 def linked_deployment(context, plan):
-    start(context, plan, True)
+    start_deployment(context, plan, True)
 
 
 @given('a "{plan}" deployment')
 def plain_deployment(context, plan):
-    start(context, plan, False)
+    start_deployment(context, plan, False)
 
 
 @given('a linked "{plan}" deployment whose keys rotate every {age:d} ms')
 def rotating_deployment(context, plan, age):
     lease = SHORT_LEASE | {'key_rotation_ms': age, 'key_overlap_ms': 60_000}
-    start(context, plan, True, {'lease': lease})
+    start_deployment(context, plan, True, {'lease': lease})
 
 
 @given('callers of every team')
@@ -66,24 +66,24 @@
     deployment.stop_callers()
     report = deployment.check()
     assert report.requests > 0
-    assert report.streams == expected_streams(deployment), report
+    assert report.streams == count_expected_streams(deployment), report
     assert report.faults() == 0, report.document()
     context.report = report
 
 
-def expected_streams(deployment):
+def count_expected_streams(deployment):
     each = sum(one.streams for one in deployment.plan.services)
     return each * len(deployment.plan.teams)
 
 
-def home_of(deployment, team=TEAM, service='confirmations'):
+def find_home(deployment, team=TEAM, service='confirmations'):
     """Return the balancer that owns the pool of a service."""
     address = deployment.service_address(team, service)
     running = deployment.running_balancers()
     return deployment.explain(running[0], address)['owner']
 
 
-def lose(deployment, *names):
+def kill_balancers(deployment, *names):
     """Kill balancers; the fabric notices later."""
     for name in names:
         deployment.kill(name)
@@ -92,19 +92,19 @@
 
 
 @when('the home of firm-a is killed')
-def home_killed(context):
-    lose(context.deployment, home_of(context.deployment))
+def kill_home(context):
+    kill_balancers(context.deployment, find_home(context.deployment))
 
 
 @when('two balancers are killed at once')
 def two_killed(context):
     deployment = context.deployment
-    home = home_of(deployment)
-    other = home_of(deployment, 'firm-b')
+    home = find_home(deployment)
+    other = find_home(deployment, 'firm-b')
     names = {home, other}
     if len(names) == 1:
         names.add(next(n for n in deployment.balancers if n != home))
-    lose(deployment, *names)
+    kill_balancers(deployment, *names)
 
 
 def freeze(deployment, name, answers=FREEZE_ANSWERS):
@@ -116,24 +116,24 @@
 
 @when('the home of firm-a is frozen and goes on')
 def home_frozen(context):
-    freeze(context.deployment, home_of(context.deployment))
+    freeze(context.deployment, find_home(context.deployment))
 
 
 @when('the lease holder of domain a is frozen and goes on')
 def holder_frozen(context):
     deployment = context.deployment
-    before = lease_of(deployment, 'a')
+    before = get_lease(deployment, 'a')
     holder = before['holder']
     deployment.signal(holder, signal.SIGSTOP)
     wait_for(
-        lambda: lease_of(deployment, 'a')['epoch'] > before['epoch'],
+        lambda: get_lease(deployment, 'a')['epoch'] > before['epoch'],
         'another lease holder',
     )
     deployment.signal(holder, signal.SIGCONT)
     deployment.wait_answers(60)
 
 
-def lease_of(deployment, domain):
+def get_lease(deployment, domain):
     return get_stored(deployment.platform, f'lease/{domain}').value
 
 
@@ -147,14 +147,15 @@
     deployment.start_balancer(name)
     running = deployment.running_balancers()
     wait_for(
-        lambda: held_alike(deployment, running), 'configuration from peers'
+        lambda: hold_same_configuration(deployment, running),
+        'configuration from peers',
     )
     deployment.publish_balancers()
     deployment.wait_answers(60)
     deployment.platform_faults(down=False)
 
 
-def held_alike(deployment, names):
+def hold_same_configuration(deployment, names):
     """Tell whether balancers hold the same configuration."""
     digests = {
         deployment.inspect(name)['configuration']['digest'] for name in names
@@ -171,7 +172,7 @@
         deployment.publish_balancers(others)
         deployment.start_balancer(name)
         wait_for(
-            lambda: held_alike(deployment, deployment.balancers),
+            lambda: hold_same_configuration(deployment, deployment.balancers),
             'configuration of the new balancer',
         )
         deployment.publish_balancers()
@@ -181,7 +182,7 @@
 def stop_while_draining(context):
     deployment = context.deployment
     deployment.set_target('guidance-1', TEAM, drain=1)
-    home = home_of(deployment)
+    home = find_home(deployment)
     assert deployment.stop_planned(home) == 0
     deployment.publish_balancers()
 
@@ -195,7 +196,7 @@
 
 
 @when('a target is frozen and goes on')
-def target_frozen(context):
+def freeze_target(context):
     freeze(context.deployment, 'guidance-1')
 
 
@@ -218,14 +219,14 @@
 
 
 @when("callers' packets are lost, doubled and reordered")
-def packets_suffer(context):
+def disturb_caller_packets(context):
     context.deployment.fabric_faults(
         loss=0.05, duplication=0.1, reordering=0.2, held_ms=300
     )
 
 
 @when('packets between balancers are lost and doubled')
-def peer_packets_suffer(context):
+def disturb_peer_packets(context):
     faults = {'loss': 0.05, 'duplication': 0.1, 'held_ms': 50}
     call(context.deployment.links_control, '/set', {'faults': faults})
 
@@ -278,7 +279,7 @@
 
 
 @when('the platform loses answers to writes')
-def platform_forgets(context):
+def platform_loses_answers(context):
     context.deployment.platform_faults(lose_answers=3)
     change_deadline(context.deployment, 4_000)
 
@@ -311,20 +312,20 @@
     deployment = context.deployment
     deployment.platform_faults(down=True)
     # The tool cannot reach the platform either, but asks no object of it.
-    lose(deployment, home_of(deployment))
+    kill_balancers(deployment, find_home(deployment))
     deployment.wait_answers(60)
     deployment.platform_faults(down=False)
 
 
 @when('a target is frozen while packets are lost and doubled')
 def frozen_with_loss(context):
-    peer_packets_suffer(context)
-    packets_suffer(context)
-    target_frozen(context)
+    disturb_peer_packets(context)
+    disturb_caller_packets(context)
+    freeze_target(context)
 
 
 @when('the home of firm-a is killed while packets are lost')
 def killed_with_loss(context):
-    packets_suffer(context)
-    peer_packets_suffer(context)
-    home_killed(context)
+    disturb_caller_packets(context)
+    disturb_peer_packets(context)
+    kill_home(context)
--- a/tests/features/steps/history_steps.py
+++ b/tests/features/steps/history_steps.py
@@ -7,7 +7,7 @@
 from stand_ins import history
 
 
-def request(work_id, **changes):
+def make_request(work_id, **changes):
     record = {
         'event': 'request',
         'wall_ms': 1_000,
@@ -20,7 +20,7 @@
     return record | changes
 
 
-def run(work_id, wall_ms=900, target='firm-a/t1', work_ms=10):
+def make_run(work_id, wall_ms=900, target='firm-a/t1', work_ms=10):
     return {
         'event': 'run',
         'wall_ms': wall_ms,
@@ -31,12 +31,12 @@
 
 
 @given('a good history')
-def good_history(context):
+def valid_history(context):
     context.callers = [
         {'event': 'asked', 'wall_ms': 1, 'id': 'r1', 'repeatable': False},
         {'event': 'asked', 'wall_ms': 1, 'id': 'r2', 'repeatable': True},
-        request('r1'),
-        request('r2', repeatable=True),
+        make_request('r1'),
+        make_request('r2', repeatable=True),
         {
             'event': 'stream',
             'wall_ms': 2_000,
@@ -47,18 +47,18 @@
             'late_ms': 10,
         },
     ]
-    context.targets = [run('r1'), run('r2')]
+    context.targets = [make_run('r1'), make_run('r2')]
     context.drains = []
 
 
 @when('an unrepeatable request runs twice')
-def doubled(context):
-    context.targets.append(run('r1', target='firm-a/t2'))
+def non_repeatable_runs_twice(context):
+    context.targets.append(make_run('r1', target='firm-a/t2'))
 
 
 @when('a repeatable request runs twice')
-def repeated(context):
-    context.targets.append(run('r2', target='firm-a/t2'))
+def repeatable_runs_twice(context):
+    context.targets.append(make_run('r2', target='firm-a/t2'))
 
 
 @when('a request said not to have run has run')
@@ -67,7 +67,7 @@
 
 
 @when('a request in doubt has run')
-def in_doubt(context):
+def may_have_run(context):
     context.callers[2]['verdict'] = 'may_have_run'
 
 
@@ -77,7 +77,7 @@
 
 
 @when('an answer is not whole')
-def not_whole(context):
+def incomplete(context):
     context.callers[2]['whole'] = False
 
 
@@ -92,7 +92,7 @@
 
 
 @when("a target gets another team's work")
-def foreign(context):
+def work_of_other_team(context):
     record = {'event': 'wrong_service', 'wall_ms': 5, 'id': 'r1'}
     context.targets.append(record | {'target': 'firm-a/t1'})
 
@@ -100,7 +100,7 @@
 @when('a drained target gets work after {seconds:d} s')
 def work_after_drain(context, seconds):
     context.drains.append(('firm-a/t1', 10_000, None))
-    late = run('r2', wall_ms=10_000 + seconds * 1_000)
+    late = make_run('r2', wall_ms=10_000 + seconds * 1_000)
     context.targets[1] = late
 
 
@@ -114,23 +114,23 @@
             'is_draining': True,
         }
     )
-    late = run('r2', wall_ms=10_000 + seconds * 1_000)
+    late = make_run('r2', wall_ms=10_000 + seconds * 1_000)
     context.targets[1] = late
 
 
-def check(context):
+def check_history(context):
     return history.check(context.callers, context.targets, context.drains)
 
 
 @then('the checker finds {count:d} faults')
 def finds_count(context, count):
-    report = check(context)
+    report = check_history(context)
     assert report.faults() == count, report.document()
 
 
 @then('the checker finds "{fault}"')
 def finds_fault(context, fault):
-    report = check(context)
+    report = check_history(context)
     assert getattr(report, fault) == 1, report.document()
     assert report.faults() == 1, report.document()
 
@@ -139,14 +139,14 @@
     'work of {one:d} and {other:d} on capacities of 3 and 1 has imbalance '
     '{expected:f}'
 )
-def imbalance(_context, one, other, expected):
+def check_imbalance(_context, one, other, expected):
     plans = [
         {'team': 'x', 'pool': 'p', 'name': 'a', 'slots': 3, 'speed': 1.0},
         {'team': 'x', 'pool': 'p', 'name': 'b', 'slots': 1, 'speed': 1.0},
     ]
     records = [
-        run('r1', target='x/a', work_ms=one),
-        run('r2', target='x/b', work_ms=other),
+        make_run('r1', target='x/a', work_ms=one),
+        make_run('r2', target='x/b', work_ms=other),
     ]
     report = history.Report()
     history.measure_imbalance(report, records, plans, set(), 0)
--- a/tests/features/steps/home_steps.py
+++ b/tests/features/steps/home_steps.py
@@ -38,7 +38,7 @@
 )
 
 
-class Bench:
+class Harness:
     """Drives one home and notes what it asks for."""
 
     def __init__(self, targets, service=SERVICE):
@@ -92,61 +92,61 @@
 def make_home(context, pool, names):
     assert pool == SERVICE.pool_key
     context.names = names.split(',')
-    context.bench = Bench(context.names)
+    context.harness = Harness(context.names)
 
 
 @given('the service is {kind}')
-def set_kind(context, kind):
+def set_service_kind(context, kind):
     service = evolve(SERVICE, repeatable=kind == 'repeatable')
-    context.bench = Bench(context.names, service)
+    context.harness = Harness(context.names, service)
 
 
 @given('all targets leave')
-def all_leave(context):
+def mark_all_leaving(context):
     infos = [TargetInfo(n, 'centro', leaving=True) for n in context.names]
-    context.bench.pool.update(infos, context.bench.now_ms)
+    context.harness.pool.update(infos, context.harness.now_ms)
 
 
 @given('answers take longer than a deadline')
-def slow_answers(context):
-    for target in context.bench.pool.targets.values():
+def record_slow_answer(context):
+    for target in context.harness.pool.targets.values():
         target.capacity.completed(SERVICE.name, 1, 0, 9_000, 0)
 
 
 @when('request {number:d} arrives')
 def request_arrives(context, number):
-    context.bench.arrive(number)
+    context.harness.arrive(number)
 
 
 @when('requests {first:d} to {last:d} arrive')
 def requests_arrive(context, first, last):
     for number in range(first, last + 1):
-        context.bench.arrive(number)
+        context.harness.arrive(number)
 
 
 @when('the target answers request {number:d} with "{body}"')
 def target_answers(context, number, body):
-    bench = context.bench
-    bench.now_ms += 50
-    request_id = bench.ids[number]
-    answered = events.TargetAnswered(request_id, body.encode(), bench.now_ms)
-    bench.feed(answered)
+    harness = context.harness
+    harness.now_ms += 50
+    request_id = harness.ids[number]
+    answered = events.TargetAnswered(request_id, body.encode(), harness.now_ms)
+    harness.feed(answered)
 
 
 @when('{what} for request {number:d}')
-def something_happens(context, what, number):
-    bench = context.bench
+def apply_event(context, what, number):
+    harness = context.harness
     repeats = {
         'targets shed it until the end': 'the target sheds it',
         'all connections fail unwritten': 'the connection fails unwritten',
     }
     if what in repeats:
-        while bench.ids[number] in bench.state.pending:
-            something_happens(context, repeats[what], number)
+        while harness.ids[number] in harness.state.pending:
+            apply_event(context, repeats[what], number)
         return
-    request_id = bench.ids.get(number)
-    bench.now_ms += 50
-    now_ms = bench.now_ms
+    request_id = harness.ids.get(number)
+    harness.now_ms += 50
+    now_ms = harness.now_ms
     match what:
         case 'the connection breaks once written':
             event = events.RequestLost(request_id, True, now_ms)
@@ -157,32 +157,32 @@
         case 'the target says it was cancelled':
             event = events.TargetRefused(request_id, 0, True, now_ms)
         case 'the deadline passes':
-            bench.now_ms += SERVICE.deadline_ms
-            event = Tick(bench.now_ms)
-    bench.feed(event)
+            harness.now_ms += SERVICE.deadline_ms
+            event = Tick(harness.now_ms)
+    harness.feed(event)
 
 
 @when('request {number:d} is cancelled')
 def request_cancelled(context, number):
-    bench = context.bench
-    bench.feed(events.CancelArrived(NONCE, number, bench.now_ms))
+    harness = context.harness
+    harness.feed(events.CancelArrived(NONCE, number, harness.now_ms))
 
 
 @when('the flow is closed')
 def flow_closed(context):
-    bench = context.bench
-    bench.feed(events.CloseArrived(NONCE, bench.now_ms))
+    harness = context.harness
+    harness.feed(events.CloseArrived(NONCE, harness.now_ms))
 
 
 @then('request {number:d} was sent {times:d} time')
 @then('request {number:d} was sent {times:d} times')
-def was_sent(context, number, times):
-    assert context.bench.sent[number] == times, context.bench.sent
+def check_sent(context, number, times):
+    assert context.harness.sent[number] == times, context.harness.sent
 
 
 @then('request {number:d} got the verdict "{verdict}"')
-def got_verdict(context, number, verdict):
-    found = context.bench.replies.get(number, [])
+def check_verdict(context, number, verdict):
+    found = context.harness.replies.get(number, [])
     if verdict == 'none':
         assert not found, found
         return
@@ -191,21 +191,21 @@
 
 @then('request {number:d} was answered "{body}" {times:d} times')
 def check_replies(context, number, body, times):
-    found = context.bench.replies[number]
+    found = context.harness.replies[number]
     expected = [(Verdict.RAN, body.encode())] * times
     assert [(one.verdict, one.body) for one in found] == expected, found
 
 
 @then('request {number:d} was refused as "{reason}"')
-def refused_as(context, number, reason):
-    found = context.bench.replies[number]
+def check_refusal(context, number, reason):
+    found = context.harness.replies[number]
     assert found[0].reason.value == reason, found
 
 
 @then('some request was refused as "{reason}" with a time to come back')
-def some_refused(context, reason):
+def check_some_refused(context, reason):
     outcomes = [
-        one for found in context.bench.replies.values() for one in found
+        one for found in context.harness.replies.values() for one in found
     ]
     matching = [one for one in outcomes if one.reason.value == reason]
     assert matching
@@ -214,7 +214,7 @@
         assert one.retry_after_ms > 0
 
 
-STEP_NAMES = (
+EVENT_NAMES = (
     'arrive',
     'answer',
     'shed',
@@ -225,21 +225,21 @@
 )
 
 
-def run_step(bench, runs, step):
+def run_random_step(harness, runs, step):
     """Carry out one random step; ``runs`` counts what targets ran."""
     name, number = step
-    bench.now_ms += 7
-    now_ms = bench.now_ms
-    request_id = bench.ids.get(number)
-    in_flight = request_id in bench.state.pending
+    harness.now_ms += 7
+    now_ms = harness.now_ms
+    request_id = harness.ids.get(number)
+    in_flight = request_id in harness.state.pending
     if name == 'arrive':
-        bench.arrive(number)
+        harness.arrive(number)
     elif name == 'cancel':
-        bench.feed(events.CancelArrived(NONCE, number, now_ms))
+        harness.feed(events.CancelArrived(NONCE, number, now_ms))
     elif name == 'pass':
-        bench.now_ms += 3_000
-        bench.feed(Tick(bench.now_ms))
-    elif in_flight and bench.state.pending[request_id].target:
+        harness.now_ms += 3_000
+        harness.feed(Tick(harness.now_ms))
+    elif in_flight and harness.state.pending[request_id].target:
         if name == 'answer':
             runs[number] += 1
             event = events.TargetAnswered(request_id, b'x', now_ms)
@@ -250,23 +250,23 @@
             event = events.RequestLost(request_id, False, now_ms)
         else:
             event = events.TargetRefused(request_id, 0, False, now_ms)
-        bench.feed(event)
+        harness.feed(event)
 
 
 @then('for any events an unrepeatable request runs at most once')
 def at_most_once(_context):
-    step = st.tuples(st.sampled_from(STEP_NAMES), st.integers(1, 6))
+    step = st.tuples(st.sampled_from(EVENT_NAMES), st.integers(1, 6))
 
     @for_any(st.lists(step, max_size=80))
     @settings(max_examples=400, derandomize=True, database=None, deadline=None)
     def check(steps):
-        bench = Bench(['t1', 't2'])
+        harness = Harness(['t1', 't2'])
         runs = Counter()
         for one in steps:
-            run_step(bench, runs, one)
+            run_random_step(harness, runs, one)
         for number, times in runs.items():
             assert times <= 1, (number, times)
-        for number, outcomes in bench.replies.items():
+        for number, outcomes in harness.replies.items():
             verdicts = {one.verdict for one in outcomes}
             if Verdict.NOT_RUN in verdicts:
                 assert runs[number] == 0, number
--- a/tests/features/steps/promise_steps.py
+++ b/tests/features/steps/promise_steps.py
@@ -8,8 +8,8 @@
 from behave import then
 from behave import when
 import cbor2
-from deployment_steps import held_alike
-from deployment_steps import home_of
+from deployment_steps import find_home
+from deployment_steps import hold_same_configuration
 from deployment_steps import set_cuts
 from deployment_steps import TEAM
 
@@ -31,8 +31,8 @@
 
 STATUS_CONFLICT = 3
 STATUS_NOT_IN_FORCE = 5
-EVERYTHING = [('a', 'b'), ('a', 'c')]
-BATCH = 500
+LINKS_OF_DOMAIN_A = [('a', 'b'), ('a', 'c')]
+BATCH_DATAGRAMS = 500
 
 
 @when('{fault} begins')
@@ -55,7 +55,7 @@
 
 
 @when('firm-a changes the deadline of its confirmations to {value:d} ms')
-def change(context, value):
+def change_deadline(context, value):
     deployment = context.deployment
     document = deployment.team_document(TEAM)
     document['services'] = {'confirmations': {'deadline_ms': value}}
@@ -81,7 +81,7 @@
 
 
 @then('every balancer holds what the store holds')
-def all_hold(context):
+def check_all_hold(context):
     deployment = context.deployment
     key = f'team/{TEAM}'
     stored = get_stored(deployment.platform, key).version
@@ -89,8 +89,8 @@
 
     def holds():
         found = sample_versions(context)
-        newest = all(found[name].get(key) == stored for name in names)
-        return newest and held_alike(deployment, names)
+        is_newest = all(found[name].get(key) == stored for name in names)
+        return is_newest and hold_same_configuration(deployment, names)
 
     wait_for(holds, f'version {stored} on all balancers', 60)
 
@@ -103,11 +103,11 @@
 
 @when('domain a is cut off from everything')
 def cut_off(context):
-    set_cuts(context.deployment, EVERYTHING, ('a',))
+    set_cuts(context.deployment, LINKS_OF_DOMAIN_A, ('a',))
 
 
 @when('domain a is healed')
-def healed(context):
+def reconnect(context):
     set_cuts(context.deployment, [], ())
 
 
@@ -160,17 +160,17 @@
 
 
 @then('the status tells what is wrong with "{key}"')
-def status_tells(context, key):
-    def tells():
+def status_shows_error(context, key):
+    def shows_error():
         done = context.deployment.tool('status', check=False)
         return f'{key}: {key}: targets' in done.stdout
 
-    wait_for(tells, f'a problem of {key} in the status')
+    wait_for(shows_error, f'a problem of {key} in the status')
 
 
 @when('an operator drains the home of firm-a')
 def drain_home(context):
-    context.drained = home_of(context.deployment)
+    context.drained = find_home(context.deployment)
     context.deployment.tool('instance', 'drain', context.drained)
 
 
@@ -186,16 +186,16 @@
 def move_address(deployment):
     """Give firm-a's tiles address to firm-b, by the tool."""
     address = deployment.service_address(TEAM, 'tiles')
-    gives = deployment.team_document(TEAM)
-    del gives['addresses']['tiles']
-    deployment.apply('team', gives)
-    takes = deployment.team_document('firm-b')
-    takes['addresses']['tiles'] = address
-    deployment.apply('team', takes)
+    releasing_team = deployment.team_document(TEAM)
+    del releasing_team['addresses']['tiles']
+    deployment.apply('team', releasing_team)
+    requesting_team = deployment.team_document('firm-b')
+    requesting_team['addresses']['tiles'] = address
+    deployment.apply('team', requesting_team)
     return address
 
 
-def claim_of(deployment, address):
+def get_claim(deployment, address):
     return get_stored(deployment.platform, f'claim/{address}').value
 
 
@@ -203,22 +203,22 @@
 def address_moves(context):
     address = move_address(context.deployment)
     wait_for(
-        lambda: claim_of(context.deployment, address)['team'] == 'firm-b',
+        lambda: get_claim(context.deployment, address)['team'] == 'firm-b',
         'the grant to firm-b',
     )
 
 
 @when('firm-a gives up its tiles address and firm-b asks for it')
-def gives_up(context):
+def release_address(context):
     context.address = move_address(context.deployment)
 
 
 @then('the address stays with nobody as long as domain a is cut off')
-def stays_with_nobody(context):
+def stays_ungranted(context):
     deployment = context.deployment
 
-    def released_elsewhere():
-        found = claim_of(deployment, context.address)
+    def is_released_elsewhere():
+        found = get_claim(deployment, context.address)
         return found['state'] == 'releasing' and all(
             row['state'] == 'in force'
             for row in json.loads(
@@ -229,7 +229,7 @@
             if row['failure_domain'] != 'a'
         )
 
-    wait_for(released_elsewhere, 'the release outside of domain a')
+    wait_for(is_released_elsewhere, 'the release outside of domain a')
     version = get_stored(deployment.platform, f'claim/{context.address}')
     # Several more rounds of the lease holders leave it as it is.
     calls = sum(call(deployment.platform, '/calls').values())
@@ -245,7 +245,7 @@
 @then('the address is granted to firm-b')
 def granted(context):
     def is_granted():
-        found = claim_of(context.deployment, context.address)
+        found = get_claim(context.deployment, context.address)
         return (found['team'], found['state']) == ('firm-b', 'held')
 
     wait_for(is_granted, 'the grant to firm-b', 60)
@@ -290,23 +290,25 @@
 
 
 @when("a caller of firm-b asks firm-a's confirmations")
-def stranger_asks(context):
+def send_foreign_request(context):
     deployment = context.deployment
     address = deployment.service_address(TEAM, 'confirmations')
     work = Work('stranger', TEAM, 'confirmations', 1.0, 10)
 
-    async def ask():
+    async def send_request():
         local = Endpoint(deployment.caller_ip('firm-b'), 0)
         async with Client(local) as client:
             body = workload.encode_work(work)
             return await client.request(address, body, 1_500)
 
-    context.stranger = asyncio.run(ask())
+    context.foreign_outcome = asyncio.run(send_request())
 
 
 @then('the outcome of the stranger is "{verdict}"')
-def stranger_outcome(context, verdict):
-    assert context.stranger.verdict.value == verdict, context.stranger
+def check_foreign_outcome(context, verdict):
+    assert context.foreign_outcome.verdict.value == verdict, (
+        context.foreign_outcome
+    )
 
 
 @then('no target ran anything')
@@ -315,9 +317,9 @@
     assert not [one for one in targets if one['event'] == 'run'], targets
 
 
-def bad_datagrams(address, count):
+def generate_datagrams(address, count):
     """Yield datagrams as a broken or hostile sender would send them."""
-    draw = random.Random(5)
+    rng = random.Random(5)
     good = encode_packet(Request(number=1, token=b'x' * 60, body=b'y' * 50))
     opening = encode_packet(Open(b'12345678'))
 
@@ -328,9 +330,9 @@
         return encode_fabric(envelope)
 
     makers = (
-        lambda: draw.randbytes(draw.randint(0, 200)),
-        lambda: wrap(draw.randbytes(draw.randint(0, 200))),
-        lambda: wrap(good[: draw.randint(0, len(good))]),
+        lambda: rng.randbytes(rng.randint(0, 200)),
+        lambda: wrap(rng.randbytes(rng.randint(0, 200))),
+        lambda: wrap(good[: rng.randint(0, len(good))]),
         lambda: wrap(good),
         lambda: wrap(cbor2.dumps({0: 1, 1: 3, 3: 'text', 5: -1})),
         lambda: wrap(cbor2.dumps([[[[]]]] * 20)),
@@ -346,7 +348,7 @@
 
 
 @when('{count:d} bad packets of every sort are sent to a balancer')
-def send_bad(context, count):
+def send_invalid(context, count):
     deployment = context.deployment
     ip = deployment.balancers['lm-1'][1]
     destination = (ip, deployment._port(1))
@@ -354,9 +356,9 @@
 
     async def send():
         socket = await UdpSocket.bind(Endpoint(ip, 0), lambda *_: None)
-        for number, data in enumerate(bad_datagrams(address, count)):
+        for number, data in enumerate(generate_datagrams(address, count)):
             socket.send(data, destination)
-            if number % BATCH == 0:
+            if number % BATCH_DATAGRAMS == 0:
                 # Let the balancer keep up, or the kernel drops them.
                 await asyncio.sleep(0.02)
         socket.close()
@@ -367,22 +369,22 @@
 @when('the home of firm-a is stopped as planned')
 def home_stopped(context):
     deployment = context.deployment
-    assert deployment.stop_planned(home_of(deployment)) == 0
+    assert deployment.stop_planned(find_home(deployment)) == 0
     deployment.publish_balancers()
 
 
 @then('no request is in doubt')
-def no_doubt(context):
-    doubts = context.report.verdicts.get('may_have_run', 0)
-    assert doubts == 0, context.report.document()
+def check_none_may_have_run(context):
+    count = context.report.verdicts.get('may_have_run', 0)
+    assert count == 0, context.report.document()
 
 
 @when('target "{name}" of firm-a leaves by {word}')
-def target_leaves(context, name, word):
+def target_leaves(context, name, source):
     deployment = context.deployment
     context.leaving = f'{TEAM}/{name}'
     now_ms = time.time_ns() // 1_000_000
-    match word:
+    match source:
         case 'its own word':
             deployment.set_target(name, TEAM, drain=1)
         case "the operator's word":
--- a/tests/features/steps/routing_steps.py
+++ b/tests/features/steps/routing_steps.py
@@ -37,7 +37,7 @@
 
 
 @then('the decision is to {decision}')
-def decision_is(context, decision):
+def check_decision(context, decision):
     match context.action:
         case HandleOpen():
             found = 'adopt'
--- a/tests/features/steps/token_steps.py
+++ b/tests/features/steps/token_steps.py
@@ -38,20 +38,20 @@
 
 
 @when('a token for "{team}" and service "{service}" is sealed')
-def seal(context, team, service):
+def seal_content(context, team, service):
     context.content = evolve(TOKEN, team=team, service=service)
     context.token = seal_token(context.ring, context.content)
 
 
 @then('it opens to the same content')
-def opens(context):
+def check_content(context):
     assert open_token(context.ring, context.token) == context.content
 
 
 @then(
     'it opens with a ring that seals with key {current:d} but still has key 2'
 )
-def opens_with_other(context, current):
+def check_content_with_other_ring(context, current):
     other = KeyRing(context.ring.keys, current)
     assert open_token(other, context.token) == context.content
 
@@ -75,7 +75,7 @@
             context.changed = [b'']
 
 
-def refusal_of(ring, token):
+def find_refusal_reason(ring, token):
     try:
         open_token(ring, token)
     except TokenError as error:
@@ -84,26 +84,26 @@
 
 
 @then('it is refused as "{reason}"')
-def is_refused(context, reason):
+def check_refused(context, reason):
     assert context.changed
     for token in context.changed:
-        found = refusal_of(context.ring, token)
+        found = find_refusal_reason(context.ring, token)
         assert found is not None, token.hex()
         assert reason in ('any', found), found
 
 
 @then('no random bytes open as a token')
-def random_bytes(context):
+def check_random_bytes(context):
     @for_any(st.binary(max_size=200))
     @settings(max_examples=500, derandomize=True, database=None)
     def check(data):
-        assert refusal_of(context.ring, data) is not None
+        assert find_refusal_reason(context.ring, data) is not None
 
     check()
 
 
 @then('for any order of numbers a window grants each number at most once')
-def window_once(_context):
+def check_granted_once(_context):
     numbers = st.lists(st.integers(1, 3_000), max_size=300)
 
     @for_any(numbers)
@@ -117,7 +117,7 @@
 
 
 @then('a window grants a fresh number above all others')
-def window_fresh(_context):
+def check_fresh_number(_context):
     @for_any(st.lists(st.integers(1, 3_000), max_size=50))
     @settings(max_examples=200, derandomize=True, database=None)
     def check(order):
@@ -133,7 +133,7 @@
 
 
 @given('a window that granted "{granted}"')
-def granted_window(context, granted):
+def make_window(context, granted):
     context.window = Window()
     for number in granted.split(','):
         assert context.window.claim(int(number)) is Claim.NEW
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -63,7 +63,7 @@
         'elif not event.written or request.service.repeatable:',
         'elif True:',
         FAULTS,
-        'a target is killed and comes back',
+        'a target is killed and restarted',
     ),
     Mutation(
         'streams survive: lost events are not pushed again',
@@ -111,7 +111,7 @@
         'if (found_team, found) == (team, name):',
         'if True:',
         ISOLATION,
-        'comes back as another',
+        'is reused by another',
     ),
     Mutation(
         'other service: callers are not checked',
@@ -119,7 +119,7 @@
         'if not _is_allowed(event.caller.ip, service.networks):',
         'if False:',
         ISOLATION,
-        'Callers of one firm',
+        'Callers of one team',
     ),
     Mutation(
         'leaving target: it still counts as present',
@@ -127,7 +127,7 @@
         'if not target.leaving]',
         ']',
         STOP,
-        "the operator's word",
+        'an operator',
     ),
     Mutation(
         'planned stop: it does not wait',
