--- a/tests/features/decisions/routing.feature
+++ b/tests/features/decisions/routing.feature
@@ -1,8 +1,9 @@
 Feature: Packets whose home is gone
-  Only what still waits for an answer gets one.
+  Only requests are answered with a refusal;
+  a keepalive makes the balancer adopt its flow.
 
-  Scenario Outline: What is done with a <packet> whose home is gone
-    Given a balancer that knows no home "lm-9"
+  Scenario Outline: Handling of a <packet> whose home is gone
+    Given a balancer without a peer "lm-9"
     When a <packet> with a token of "lm-9" arrives
     Then the decision is to <decision>
 
--- a/tests/features/decisions/token_and_window.feature
+++ b/tests/features/decisions/token_and_window.feature
@@ -1,7 +1,7 @@
 Feature: Flow tokens and request numbers
-  A token routes a flow without state; a number runs at most once.
+  Guards against forged tokens and against request numbers that run twice.
 
-  Scenario: A sealed token opens to what was sealed
+  Scenario: An opened token has the content that was sealed
     Given a key ring with keys "1,2" that seals with key 2
     When a token for "firm-a" and service "guidance" is sealed
     Then it opens to the same content
@@ -14,13 +14,13 @@
     Then it is refused as "<reason>"
 
     Examples:
-      | change            | reason            |
-      | flipping each bit | any               |
-      | cutting each tail | any               |
-      | another key id    | token_key_unknown |
-      | an empty string   | token_forged      |
+      | change               | reason            |
+      | flipping each bit    | any               |
+      | truncation           | any               |
+      | using another key id | token_key_unknown |
+      | emptying it          | token_forged      |
 
-  Scenario: No random bytes open as a token
+  Scenario: Random bytes are refused as a token
     Given a key ring with keys "1" that seals with key 1
     Then no random bytes open as a token
 
@@ -28,7 +28,7 @@
     Then for any order of numbers a window grants each number at most once
     And a window grants a fresh number above all others
 
-  Scenario Outline: A window judges one number
+  Scenario Outline: A claim of a number is new, seen or too old
     Given a window that granted "<granted>"
     When number <number> is claimed
     Then the claim is "<claim>"
--- a/tests/features/environment.py
+++ b/tests/features/environment.py
@@ -1,4 +1,4 @@
-"""Sets up and clears away what scenarios use."""
+"""Sets up and removes the resources of scenarios."""
 
 from pathlib import Path
 import shutil
@@ -12,7 +12,7 @@
 
 
 def after_scenario(context, scenario):
-    """End the processes of the scenario; keep logs of a failed one."""
+    """Stop the processes of the scenario; keep the logs if it failed."""
     if context.deployment is not None:
         context.deployment.stop()
     if scenario.status.has_failed() and context.deployment is not None:
--- a/tests/features/promises/configuration.feature
+++ b/tests/features/promises/configuration.feature
@@ -3,28 +3,28 @@
 
   Scenario Outline: A change is in force on every balancer although <fault>
     Given a linked "small" deployment
-    When <fault> begins
+    When the fault "<fault>" begins
     And firm-a changes the deadline of its confirmations to 4321 ms
-    Then every balancer holds what the store holds
+    Then every balancer holds the stored configuration
     And no balancer ever held an older version after a newer one
 
     Examples:
-      | fault                                 |
-      | the platform answers late             |
-      | the platform loses two answers        |
-      | the platform forgets each change      |
-      | domain a cannot reach the platform    |
-      | a balancer starts anew                |
+      | fault                              |
+      | the platform answers late          |
+      | the platform loses two answers     |
+      | the platform forgets each change   |
+      | domain a cannot reach the platform |
+      | a balancer restarts                |
 
-  Scenario: A domain that is cut off is named, and catches up once healed
+  Scenario: A domain that is cut off is reported, and catches up afterwards
     Given a linked "small" deployment
     When domain a is cut off from everything
     And firm-a changes the deadline of its confirmations to 4321 ms
     Then the change is not in force, and the tool names domain "a"
-    When domain a is healed
-    Then every balancer holds what the store holds
+    When domain a is reconnected
+    Then every balancer holds the stored configuration
 
-  Scenario: Two operators race, and one of them is told
+  Scenario: Of two concurrent changes one is refused as a conflict
     Given a "small" deployment
     When two operators change firm-a from the same version
     Then one change is stored and the other operator sees the difference
@@ -32,12 +32,12 @@
   Scenario: An invalid object in the store leaves the last valid one in force
     Given a "small" deployment
     And callers of every team
-    When something invalid is written over firm-a past the tool
+    When an invalid document of firm-a is written to the store
     And the callers got 60 answers
-    Then the status tells what is wrong with "team/firm-a"
+    Then the status shows the error in "team/firm-a"
     And every promise holds
 
-  Scenario: A drained instance asks its callers to move and gets no flows
+  Scenario: A drained instance moves its flows and gets no new ones
     Given a "small" deployment
     And callers of every team
     When the callers got 60 answers
--- a/tests/features/promises/isolation.feature
+++ b/tests/features/promises/isolation.feature
@@ -1,7 +1,7 @@
 @processes
-Feature: A packet never reaches another service, nor one firm another's
+Feature: No packet reaches another service or another team's targets
 
-  Scenario: An address moves between rival firms under traffic
+  Scenario: An address moves between teams under traffic
     Given a linked "small" deployment
     And callers of every team
     When the callers got 60 answers
@@ -12,31 +12,31 @@
   Scenario: An address is not granted while a domain may still serve it
     Given a linked "small" deployment
     When domain a is cut off from everything
-    And firm-a gives up its tiles address and firm-b asks for it
-    Then the address stays with nobody as long as domain a is cut off
-    When domain a is healed
+    And firm-a releases its tiles address and firm-b requests it
+    Then the address is not granted while domain a is cut off
+    When domain a is reconnected
     Then the address is granted to firm-b
 
-  Scenario: The address of a target comes back as another team's target
+  Scenario: The address of a target is reused by another team's target
     Given a "small" deployment
     And callers of every team
     When the callers got 60 answers
-    And another team's target takes the address of firm-a/guidance-1
+    And another team's target reuses the address of firm-a/guidance-1
     And the callers got 150 answers
     Then no target ran work of another team
     And some balancer refused "target_replaced"
 
-  Scenario: Callers of one firm are refused at another's addresses
+  Scenario: Callers of one team are refused at another team's addresses
     Given a "small" deployment
-    When a caller of firm-b asks firm-a's confirmations
-    Then the outcome of the stranger is "not_run"
-    And no target ran anything
+    When a caller of firm-b sends a request to firm-a's confirmations
+    Then the outcome for the caller of firm-b is "not_run"
+    And no target ran a request
     And some balancer refused "caller_not_allowed"
 
-  Scenario: Bad packets change nothing
+  Scenario: Invalid packets have no effect
     Given a "small" deployment
     And callers of every team
-    When 100000 bad packets of every sort are sent to a balancer
+    When 100000 invalid packets of every kind are sent to a balancer
     And the callers got 60 answers
     Then some balancer refused "malformed_packet"
     And every promise holds
--- a/tests/features/steps/caller_steps.py
+++ b/tests/features/steps/caller_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the caller library, against a socket of the test."""
+"""Steps for the caller library, against a scripted balancer."""
 
 import asyncio
 
@@ -24,7 +24,7 @@
 
 
 class ScriptedBalancer:
-    """Plays the balancers, as the scenario has laid down."""
+    """A UDP socket that answers a caller as the scenario specifies."""
 
     def __init__(self):
         self.grants = ()
@@ -42,7 +42,7 @@
             self.outcome = await client.request(
                 self.socket.address, b'body', deadline_ms, repeatable
             )
-        # The caller's last packets are on their way still.
+        # The caller's last packets are still in flight.
         await asyncio.sleep(0)
         while self.regrant and not self.packets_of(Close):
             await asyncio.sleep(0.01)
@@ -94,12 +94,12 @@
     context.balancer.grants = ('first',)
 
 
-@when('the flow is granted as "first" and later as "second" too')
+@when('the flow is granted as "first" and then as "second"')
 def granted_twice(context):
     context.balancer.grants = ('first', 'second')
 
 
-@when('the caller sends a request that may not be repeated')
+@when('the caller sends a non-repeatable request')
 def sends_request(context):
     context.deadline_ms = 20_000
 
@@ -110,20 +110,20 @@
     asyncio.run(context.balancer.run(context.deadline_ms))
 
 
-@when('{count:d} balancers say that the home is gone')
+@when('{count:d} balancers answer that the home is gone')
 def home_gone(context, count):
     context.balancer.home_gone_answers = count
     asyncio.run(context.balancer.run(context.deadline_ms))
 
 
-@when('the home is gone for its first try, and its second is not run')
+@when('its first attempt finds the home gone and its second is not run')
 def second_not_run(context):
     context.balancer.home_gone_answers = 3
     context.balancer.refuses_second = True
     asyncio.run(context.balancer.run(20_000, repeatable=True))
 
 
-@when('nobody answers until the deadline')
+@when('no balancer answers until the deadline')
 def no_answers(context):
     asyncio.run(context.balancer.run(300))
 
--- a/tests/features/steps/deployment_steps.py
+++ b/tests/features/steps/deployment_steps.py
@@ -1,4 +1,4 @@
-"""Steps that start real processes and bring faults about."""
+"""Steps that start real processes and inject faults."""
 
 from pathlib import Path
 import signal
@@ -17,7 +17,7 @@
 from stand_ins.plans import ALL_PLANS
 
 TEAM = 'firm-a'
-# Longer than suspicion and lease together.
+# Answers to wait for; takes longer than suspicion and lease together.
 FREEZE_ANSWERS = 120
 SHORT_LEASE = {'duration_ms': 1_500}
 
@@ -84,7 +84,7 @@
 
 
 def kill_balancers(deployment, *names):
-    """Kill balancers; the fabric notices later."""
+    """Kill balancers; the fabric learns of it some answers later."""
     for name in names:
         deployment.kill(name)
     deployment.wait_answers(30)
@@ -108,18 +108,18 @@
 
 
 def freeze(deployment, name, answers=FREEZE_ANSWERS):
-    """Freeze a process until so many answers came, then let it go on."""
+    """Pause a process until callers got ``answers`` more answers."""
     deployment.signal(name, signal.SIGSTOP)
     deployment.wait_answers(answers)
     deployment.signal(name, signal.SIGCONT)
 
 
-@when('the home of firm-a is frozen and goes on')
+@when('the home of firm-a is frozen and resumed')
 def home_frozen(context):
     freeze(context.deployment, find_home(context.deployment))
 
 
-@when('the lease holder of domain a is frozen and goes on')
+@when('the lease holder of domain a is frozen and resumed')
 def holder_frozen(context):
     deployment = context.deployment
     before = get_lease(deployment, 'a')
@@ -156,7 +156,7 @@
 
 
 def hold_same_configuration(deployment, names):
-    """Tell whether balancers hold the same configuration."""
+    """Return whether balancers hold the same configuration."""
     digests = {
         deployment.inspect(name)['configuration']['digest'] for name in names
     }
@@ -173,7 +173,7 @@
         deployment.start_balancer(name)
         wait_for(
             lambda: hold_same_configuration(deployment, deployment.balancers),
-            'configuration of the new balancer',
+            'configuration of the restarted balancer',
         )
         deployment.publish_balancers()
 
@@ -187,7 +187,7 @@
     deployment.publish_balancers()
 
 
-@when('a target is killed and comes back')
+@when('a target is killed and restarted')
 def target_killed(context):
     deployment = context.deployment
     deployment.kill('guidance-1')
@@ -195,12 +195,12 @@
     deployment.start_target('guidance-1')
 
 
-@when('a target is frozen and goes on')
+@when('a target is frozen and resumed')
 def freeze_target(context):
     freeze(context.deployment, 'guidance-1')
 
 
-@when('a target drains by its own word and returns')
+@when('a target drains itself and returns')
 def target_drains(context):
     deployment = context.deployment
     deployment.set_target('guidance-1', TEAM, drain=1)
@@ -218,14 +218,14 @@
     deployment.tool('target', 'restore', target)
 
 
-@when("callers' packets are lost, doubled and reordered")
+@when("callers' packets are lost, duplicated and reordered")
 def disturb_caller_packets(context):
     context.deployment.fabric_faults(
         loss=0.05, duplication=0.1, reordering=0.2, held_ms=300
     )
 
 
-@when('packets between balancers are lost and doubled')
+@when('packets between balancers are lost and duplicated')
 def disturb_peer_packets(context):
     faults = {'loss': 0.05, 'duplication': 0.1, 'held_ms': 50}
     call(context.deployment.links_control, '/set', {'faults': faults})
@@ -255,7 +255,7 @@
 }
 
 
-@when('domain a is cut off from {what} and healed')
+@when('domain a is cut off from {what} and reconnected')
 def domain_cut(context, what):
     deployment = context.deployment
     cuts, blocked = CUTS[what]
@@ -285,7 +285,7 @@
 
 
 def change_deadline(deployment, deadline_ms, team=TEAM):
-    """Change the configuration of a team, and wait until in force."""
+    """Change a deadline of a team and wait until it is in force."""
     document = deployment.team_document(team)
     document['services'] = {'confirmations': {'deadline_ms': deadline_ms}}
     return deployment.apply('team', document, '--wait-ms', '30000')
@@ -311,13 +311,13 @@
 def killed_without_platform(context):
     deployment = context.deployment
     deployment.platform_faults(down=True)
-    # The tool cannot reach the platform either, but asks no object of it.
+    # The tool cannot reach the platform either, but reads no object.
     kill_balancers(deployment, find_home(deployment))
     deployment.wait_answers(60)
     deployment.platform_faults(down=False)
 
 
-@when('a target is frozen while packets are lost and doubled')
+@when('a target is frozen while packets are lost and duplicated')
 def frozen_with_loss(context):
     disturb_peer_packets(context)
     disturb_caller_packets(context)
--- a/tests/features/steps/history_steps.py
+++ b/tests/features/steps/history_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the checker of histories."""
+"""Steps for the history checker."""
 
 from behave import given
 from behave import then
@@ -30,7 +30,7 @@
     }
 
 
-@given('a good history')
+@given('a valid history')
 def valid_history(context):
     context.callers = [
         {'event': 'asked', 'wall_ms': 1, 'id': 'r1', 'repeatable': False},
@@ -51,7 +51,7 @@
     context.drains = []
 
 
-@when('an unrepeatable request runs twice')
+@when('a non-repeatable request runs twice')
 def non_repeatable_runs_twice(context):
     context.targets.append(make_run('r1', target='firm-a/t2'))
 
@@ -61,22 +61,22 @@
     context.targets.append(make_run('r2', target='firm-a/t2'))
 
 
-@when('a request said not to have run has run')
+@when('a request reported as not run has run')
 def not_run_but_ran(context):
     context.callers[2]['verdict'] = 'not_run'
 
 
-@when('a request in doubt has run')
+@when('a request reported as may_have_run has run')
 def may_have_run(context):
     context.callers[2]['verdict'] = 'may_have_run'
 
 
-@when('a request said to have run has not')
+@when('a request reported as run has not run')
 def ran_but_no_run(context):
     del context.targets[0]
 
 
-@when('an answer is not whole')
+@when('an answer is incomplete')
 def incomplete(context):
     context.callers[2]['whole'] = False
 
--- a/tests/features/steps/home_steps.py
+++ b/tests/features/steps/home_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the home of flows, driven without sockets or clock."""
+"""Steps for the home of flows, driven without sockets or clock."""
 
 from collections import Counter
 from ipaddress import ip_network
@@ -39,7 +39,7 @@
 
 
 class Harness:
-    """Drives one home and notes what it asks for."""
+    """Drives one home and records its actions."""
 
     def __init__(self, targets, service=SERVICE):
         self.now_ms = 1_000_000
@@ -137,8 +137,10 @@
 def apply_event(context, what, number):
     harness = context.harness
     repeats = {
-        'targets shed it until the end': 'the target sheds it',
-        'all connections fail unwritten': 'the connection fails unwritten',
+        'every target sheds it': 'the target sheds it',
+        'every connection fails before writing': (
+            'the connection fails before writing'
+        ),
     }
     if what in repeats:
         while harness.ids[number] in harness.state.pending:
@@ -148,13 +150,13 @@
     harness.now_ms += 50
     now_ms = harness.now_ms
     match what:
-        case 'the connection breaks once written':
+        case 'the connection breaks after writing':
             event = events.RequestLost(request_id, True, now_ms)
-        case 'the connection fails unwritten':
+        case 'the connection fails before writing':
             event = events.RequestLost(request_id, False, now_ms)
         case 'the target sheds it':
             event = events.TargetRefused(request_id, 100, False, now_ms)
-        case 'the target says it was cancelled':
+        case 'the target reports a cancellation':
             event = events.TargetRefused(request_id, 0, True, now_ms)
         case 'the deadline passes':
             harness.now_ms += SERVICE.deadline_ms
@@ -202,7 +204,7 @@
     assert found[0].reason.value == reason, found
 
 
-@then('some request was refused as "{reason}" with a time to come back')
+@then('some request was refused as "{reason}" with a retry delay')
 def check_some_refused(context, reason):
     outcomes = [
         one for found in context.harness.replies.values() for one in found
@@ -226,7 +228,7 @@
 
 
 def run_random_step(harness, runs, step):
-    """Carry out one random step; ``runs`` counts what targets ran."""
+    """Apply one random step; ``runs`` counts runs by request number."""
     name, number = step
     harness.now_ms += 7
     now_ms = harness.now_ms
@@ -253,7 +255,7 @@
         harness.feed(event)
 
 
-@then('for any events an unrepeatable request runs at most once')
+@then('for any events a non-repeatable request runs at most once')
 def at_most_once(_context):
     step = st.tuples(st.sampled_from(EVENT_NAMES), st.integers(1, 6))
 
@@ -270,8 +272,8 @@
             verdicts = {one.verdict for one in outcomes}
             if Verdict.NOT_RUN in verdicts:
                 assert runs[number] == 0, number
-                # An answer that was forgotten may be followed by doubt,
-                # never by word of a run.
+                # A copy that arrives after the answer was dropped may get
+                # MAY_HAVE_RUN, but never RAN.
                 assert Verdict.RAN not in verdicts
             if Verdict.RAN in verdicts:
                 assert runs[number] == 1
--- a/tests/features/steps/promise_steps.py
+++ b/tests/features/steps/promise_steps.py
@@ -1,4 +1,4 @@
-"""Steps on configuration, isolation and planned stops."""
+"""Steps for configuration, isolation and planned stops."""
 
 import asyncio
 import json
@@ -35,7 +35,7 @@
 BATCH_DATAGRAMS = 500
 
 
-@when('{fault} begins')
+@when('the fault "{fault}" begins')
 def fault_begins(context, fault):
     deployment = context.deployment
     match fault:
@@ -47,7 +47,7 @@
             deployment.platform_faults(forgets=True)
         case 'domain a cannot reach the platform':
             set_cuts(deployment, [], ('a',))
-        case 'a balancer starts anew':
+        case 'a balancer restarts':
             deployment.kill('lm-2')
             deployment.start_balancer('lm-2')
         case _:
@@ -59,14 +59,14 @@
     deployment = context.deployment
     document = deployment.team_document(TEAM)
     document['services'] = {'confirmations': {'deadline_ms': value}}
-    # The tool waits as little as it can; later steps wait for the end.
+    # Wait as little as possible here; later steps wait for the change.
     context.applied = deployment.apply(
         'team', document, '--wait-ms', '1', check=False
     )
 
 
 def sample_versions(context):
-    """Note each balancer's versions; none may go back."""
+    """Return each balancer's versions; fail if one has decreased."""
     deployment = context.deployment
     seen = context.__dict__.setdefault('seen_versions', {})
     found = {}
@@ -80,7 +80,7 @@
     return found
 
 
-@then('every balancer holds what the store holds')
+@then('every balancer holds the stored configuration')
 def check_all_hold(context):
     deployment = context.deployment
     key = f'team/{TEAM}'
@@ -106,7 +106,7 @@
     set_cuts(context.deployment, LINKS_OF_DOMAIN_A, ('a',))
 
 
-@when('domain a is healed')
+@when('domain a is reconnected')
 def reconnect(context):
     set_cuts(context.deployment, [], ())
 
@@ -124,7 +124,7 @@
         others = [states[one] for one in states if one != domain]
         return states[domain] == 'behind' and set(others) == {'in force'}
 
-    wait_for(is_behind, 'a status that shows the cut')
+    wait_for(is_behind, 'the status of the domain that is cut off')
 
 
 @when('two operators change firm-a from the same version')
@@ -151,7 +151,7 @@
     assert 'deadline_ms = 1111' in shown, shown
 
 
-@when('something invalid is written over firm-a past the tool')
+@when('an invalid document of firm-a is written to the store')
 def write_invalid(context):
     deployment = context.deployment
     found = get_stored(deployment.platform, f'team/{TEAM}')
@@ -159,13 +159,13 @@
     put_stored(deployment.platform, found)
 
 
-@then('the status tells what is wrong with "{key}"')
+@then('the status shows the error in "{key}"')
 def status_shows_error(context, key):
     def shows_error():
         done = context.deployment.tool('status', check=False)
         return f'{key}: {key}: targets' in done.stdout
 
-    wait_for(shows_error, f'a problem of {key} in the status')
+    wait_for(shows_error, f'an error in {key} in the status')
 
 
 @when('an operator drains the home of firm-a')
@@ -184,7 +184,7 @@
 
 
 def move_address(deployment):
-    """Give firm-a's tiles address to firm-b, by the tool."""
+    """Move firm-a's tiles address to firm-b with the tool."""
     address = deployment.service_address(TEAM, 'tiles')
     releasing_team = deployment.team_document(TEAM)
     del releasing_team['addresses']['tiles']
@@ -208,12 +208,12 @@
     )
 
 
-@when('firm-a gives up its tiles address and firm-b asks for it')
+@when('firm-a releases its tiles address and firm-b requests it')
 def release_address(context):
     context.address = move_address(context.deployment)
 
 
-@then('the address stays with nobody as long as domain a is cut off')
+@then('the address is not granted while domain a is cut off')
 def stays_ungranted(context):
     deployment = context.deployment
 
@@ -231,7 +231,7 @@
 
     wait_for(is_released_elsewhere, 'the release outside of domain a')
     version = get_stored(deployment.platform, f'claim/{context.address}')
-    # Several more rounds of the lease holders leave it as it is.
+    # Further rounds of the lease holders must not change it.
     calls = sum(call(deployment.platform, '/calls').values())
     wait_for(
         lambda: sum(call(deployment.platform, '/calls').values()) > calls + 40,
@@ -262,14 +262,14 @@
     assert report.answers_incomplete == 0, report.examples
 
 
-@when("another team's target takes the address of firm-a/guidance-1")
+@when("another team's target reuses the address of firm-a/guidance-1")
 def address_reused(context):
     deployment = context.deployment
     deployment.kill('guidance-1')
     for plan in deployment.target_plans:
         if plan['process'] == 'guidance-1' and plan['team'] == TEAM:
             plan['team'] = 'firm-z'
-    # The records of the new process are those of another target.
+    # The new process records its work as another target.
     deployment.start_target('guidance-1')
     for plan in deployment.target_plans:
         if plan['team'] == 'firm-z':
@@ -289,7 +289,7 @@
     assert total > 0, reason
 
 
-@when("a caller of firm-b asks firm-a's confirmations")
+@when("a caller of firm-b sends a request to firm-a's confirmations")
 def send_foreign_request(context):
     deployment = context.deployment
     address = deployment.service_address(TEAM, 'confirmations')
@@ -304,21 +304,21 @@
     context.foreign_outcome = asyncio.run(send_request())
 
 
-@then('the outcome of the stranger is "{verdict}"')
+@then('the outcome for the caller of firm-b is "{verdict}"')
 def check_foreign_outcome(context, verdict):
     assert context.foreign_outcome.verdict.value == verdict, (
         context.foreign_outcome
     )
 
 
-@then('no target ran anything')
+@then('no target ran a request')
 def nothing_ran(context):
     _callers, targets = context.deployment.records()
     assert not [one for one in targets if one['event'] == 'run'], targets
 
 
 def generate_datagrams(address, count):
-    """Yield datagrams as a broken or hostile sender would send them."""
+    """Yield datagrams that a broken or hostile sender might send."""
     rng = random.Random(5)
     good = encode_packet(Request(number=1, token=b'x' * 60, body=b'y' * 50))
     opening = encode_packet(Open(b'12345678'))
@@ -342,12 +342,12 @@
         lambda: wrap(b'\x00' * 60_000),
     )
     for number in range(count):
-        # Large ones are few, or they would only fill the socket.
+        # Only few are large, or they fill the socket buffer.
         index = number % (len(makers) - 1)
         yield makers[-1]() if number % 1_000 == 0 else makers[index]()
 
 
-@when('{count:d} bad packets of every sort are sent to a balancer')
+@when('{count:d} invalid packets of every kind are sent to a balancer')
 def send_invalid(context, count):
     deployment = context.deployment
     ip = deployment.balancers['lm-1'][1]
@@ -359,7 +359,7 @@
         for number, data in enumerate(generate_datagrams(address, count)):
             socket.send(data, destination)
             if number % BATCH_DATAGRAMS == 0:
-                # Let the balancer keep up, or the kernel drops them.
+                # Without a pause the kernel drops datagrams.
                 await asyncio.sleep(0.02)
         socket.close()
 
@@ -373,21 +373,21 @@
     deployment.publish_balancers()
 
 
-@then('no request is in doubt')
+@then('no request has the verdict may_have_run')
 def check_none_may_have_run(context):
     count = context.report.verdicts.get('may_have_run', 0)
     assert count == 0, context.report.document()
 
 
-@when('target "{name}" of firm-a leaves by {word}')
+@when('target "{name}" of firm-a is reported as leaving by {source}')
 def target_leaves(context, name, source):
     deployment = context.deployment
     context.leaving = f'{TEAM}/{name}'
     now_ms = time.time_ns() // 1_000_000
     match source:
-        case 'its own word':
+        case 'the target itself':
             deployment.set_target(name, TEAM, drain=1)
-        case "the operator's word":
+        case 'an operator':
             deployment.drain_target(context.leaving)
         case 'the instance list':
             entry = {
--- a/tests/features/steps/routing_steps.py
+++ b/tests/features/steps/routing_steps.py
@@ -1,4 +1,4 @@
-"""Steps on routing."""
+"""Steps for the routing of packets whose home is gone."""
 
 from behave import given
 from behave import then
@@ -17,7 +17,7 @@
 from liftmount._internal.models.packets import Request
 
 
-@given('a balancer that knows no home "{home}"')
+@given('a balancer without a peer "{home}"')
 def make_state(context, home):
     context.state = make_routing(members=1)
     assert home not in context.state.peers
--- a/tests/features/steps/token_steps.py
+++ b/tests/features/steps/token_steps.py
@@ -1,4 +1,4 @@
-"""Steps on flow tokens and windows."""
+"""Steps for flow tokens and request windows."""
 
 from attrs import evolve
 from behave import given
@@ -66,12 +66,12 @@
                 for i in range(len(token))
                 for bit in range(8)
             ]
-        case 'cutting each tail':
+        case 'truncation':
             context.changed = [token[:i] for i in range(len(token))]
-        case 'another key id':
+        case 'using another key id':
             other = KeyRing({9: b'other'}, 9)
             context.changed = [seal_token(other, context.content)]
-        case 'an empty string':
+        case 'emptying it':
             context.changed = [b'']
 
 
