--- a/tests/features/steps/adapter_steps.py
+++ b/tests/features/steps/adapter_steps.py
@@ -33,7 +33,7 @@
 PAYLOAD = b'payload'
 # sequence, acknowledgement, length, address, port, client, port, tag, sum,
 # flags, padding
-HEAD_VALUES = (
+HEADER_VALUES = (
     0x11223344,
     0x55667788,
     len(PAYLOAD),
@@ -46,7 +46,7 @@
     0x82,
     1,
 )
-HEAD = struct.pack('<IIHIHIHIIBB', *HEAD_VALUES)
+PACKET_HEADER = struct.pack('<IIHIHIHIIBB', *HEADER_VALUES)
 TAG_BYTES = slice(8 + 22, 8 + 26)
 ENTRY = {
     'backend': 'guide',
@@ -122,7 +122,7 @@
 
 @when('a packet with known fields is read')
 def read_packet(context):
-    context.segment = packet_headers.read(HEAD + PAYLOAD)
+    context.segment = packet_headers.read(PACKET_HEADER + PAYLOAD)
 
 
 @then('each field of the segment has its value')
@@ -141,7 +141,7 @@
 def pass_on(context, number):
     context.number = int(number, 16)
     entry = make_entry('one', 'guide', number=context.number)
-    segment = packet_headers.read(HEAD + PAYLOAD)
+    segment = packet_headers.read(PACKET_HEADER + PAYLOAD)
     action = flows.Forward(segment, entry, 0x01020304)
     context.datagram = packet_headers.encode_forward(action)
 
@@ -151,8 +151,8 @@
     found = bytearray(context.datagram)
     assert found[:8] == context.number.to_bytes(8, 'big')
     assert found[TAG_BYTES] == b'\x04\x03\x02\x01'
-    found[TAG_BYTES] = HEAD[22:26]
-    assert found[8:] == HEAD + PAYLOAD
+    found[TAG_BYTES] = PACKET_HEADER[22:26]
+    assert found[8:] == PACKET_HEADER + PAYLOAD
 
 
 @when('a flow is refused at acknowledgement {number:d}')
@@ -297,7 +297,7 @@
 
 @then('guide bears {rate} requests a second for {lasts:d} ms while cold, and '
       'the first route allows {regions}')  # fmt: skip
-def cold_and_regions(context, rate, lasts, regions):
+def slow_start_and_regions(context, rate, lasts, regions):
     table = context.result
     wanted = {}
     if rate != 'any':
@@ -309,10 +309,10 @@
 
 
 @then('a member that pulls it holds the same')
-def pulled_alike(context):
-    known = Snapshot((), 0, context.result, 3)
-    told = wire.decode_snapshot(wire.encode_snapshot(known))
-    assert told.table == context.result, told.table
+def decoded_table_is_equal(context):
+    snapshot = Snapshot((), 0, context.result, 3)
+    decoded = wire.decode_snapshot(wire.encode_snapshot(snapshot))
+    assert decoded.table == context.result, decoded.table
 
 
 @when('an evacuation of domain {domain} holds {content}')
--- a/tests/features/steps/bundling_steps.py
+++ b/tests/features/steps/bundling_steps.py
@@ -31,7 +31,7 @@
     'reader',
     'dissemination',
 )
-LIMIT_S = 300
+TIMEOUT_S = 300
 PRELUDE = """
 from attrs import define
 from attrs import Factory
@@ -66,7 +66,7 @@
         '    def twice(self):\n        return 2 * self.name'
     ),
 }
-BAD_SOURCES = {
+UNSUPPORTED_SOURCES = {
     'a field that is declared by field()': (
         'from attrs import define\n@define\nclass Target:\n'
         '    port: int = field(default=1)'
@@ -96,7 +96,7 @@
 
 
 @when('it is written out')
-def write_class(context):
+def convert_class(context):
     plain = convert_module(context.source, 'sample')
     assert 'attrs' not in plain, plain
     context.forms = (run_class(context.source), run_class(plain))
@@ -171,10 +171,10 @@
 
 
 @when('the source {text} is written out')
-def write_bad(context, text):
+def convert_unsupported(context, text):
     context.error = None
     try:
-        convert_module(BAD_SOURCES[text], 'sample')
+        convert_module(UNSUPPORTED_SOURCES[text], 'sample')
     except UnsupportedClassError as error:
         context.error = error
 
@@ -254,7 +254,7 @@
 
 
 @when('its archive is {state}')
-def harm_archive(context, state):
+def damage_archive(context, state):
     path = context.target / PROGRAM / ARCHIVE
     match state:
         case 'missing':
@@ -262,8 +262,8 @@
         case 'cut off':
             path.write_bytes(path.read_bytes()[:100])
         case 'made by another Python':
-            head = marshal.dumps(('2.7', {}))
-            path.write_bytes(head.ljust(HEADER_BYTES, b'\0'))
+            header = marshal.dumps(('2.7', {}))
+            path.write_bytes(header.ljust(HEADER_BYTES, b'\0'))
     context.done = run_prepared(context, LIST_LOADERS)
 
 
@@ -284,7 +284,7 @@
         command,
         capture_output=True,
         text=True,
-        timeout=LIMIT_S,
+        timeout=TIMEOUT_S,
         env={**os.environ, 'PYTHONPATH': path},
     )
     found = re.search(r'(\d+) scenarios passed, 0 failed', done.stdout)
--- a/tests/features/steps/pieces_steps.py
+++ b/tests/features/steps/malformed_answers_steps.py
@@ -31,9 +31,11 @@
 from tests.features.steps.adapter_steps import read_or_error
 
 REVISION = 9
-DEEPER_THAN_READ = 20_000
-GOOD = json.dumps({'meta': {'name': 'i-1', 'revision': 3}, 'spec': ENTRY})
-BAD = '{"meta": {"name": "i-bad", "revision": 4}, "spec": %s}'
+NESTING_DEPTH = 20_000
+VALID_ITEM = json.dumps(
+    {'meta': {'name': 'i-1', 'revision': 3}, 'spec': ENTRY}
+)
+INVALID_ITEM = '{"meta": {"name": "i-bad", "revision": 4}, "spec": %s}'
 ITEMS = {
     'null': 'null',
     '5': '5',
@@ -42,17 +44,17 @@
     'a revision that is text': (
         '{"meta": {"name": "i-bad", "revision": "four"}, "spec": {}}'
     ),
-    'an entry without fields': BAD % 'null',
-    'an entry that is text': BAD % '"me"',
-    'an entry of bytes': BAD % '"\udcff\udcfe"',
-    'an entry of broken JSON': BAD % '{"state": ready, "x": [1, ]}',
-    'an entry nested deeply': BAD
-    % ('[' * DEEPER_THAN_READ + ']' * DEEPER_THAN_READ),
-    'an entry with a line break': BAD % '{"zone": "a\nb"}',
+    'an entry without fields': INVALID_ITEM % 'null',
+    'an entry that is text': INVALID_ITEM % '"me"',
+    'an entry of bytes': INVALID_ITEM % '"\udcff\udcfe"',
+    'an entry of broken JSON': INVALID_ITEM % '{"state": ready, "x": [1, ]}',
+    'an entry nested deeply': INVALID_ITEM
+    % ('[' * NESTING_DEPTH + ']' * NESTING_DEPTH),
+    'an entry with a line break': INVALID_ITEM % '{"zone": "a\nb"}',
 }
 
 
-class Pieces:
+class AnswerDecoder:
     """Reads answers as a feed does; keeps what was left out."""
 
     def __init__(self):
@@ -83,35 +85,35 @@
 
 @when('a list holds a good entry and {item}')
 def list_holds(context, item):
-    context.pieces = Pieces()
-    body = body_of('items', [ITEMS[item], GOOD])
-    listing = context.pieces.read(documents.read_list, body)
+    context.decoder = AnswerDecoder()
+    body = body_of('items', [ITEMS[item], VALID_ITEM])
+    listing = context.decoder.read(documents.read_list, body)
     assert listing.revision == REVISION, listing
-    context.decoded = context.pieces.decode(listing.items)
+    context.decoded = context.decoder.decode(listing.items)
 
 
 @when('a watch tells of a good entry and {item}')
-def watch_tells(context, item):
-    context.pieces = Pieces()
+def watch_returns(context, item):
+    context.decoder = AnswerDecoder()
     events = [
         f'{{"object": {one}, "tombstone": false}}' if one != 'null' else one
-        for one in (ITEMS[item], GOOD)
+        for one in (ITEMS[item], VALID_ITEM)
     ]
     body = body_of('events', events)
-    delta = context.pieces.read(documents.read_changes, body, 0)
-    context.decoded = context.pieces.decode(delta.written)
+    delta = context.decoder.read(documents.read_changes, body, 0)
+    context.decoded = context.decoder.decode(delta.written)
 
 
 @then('the good entry is read, and {left_out} is left out')
-def good_is_read(context, left_out):
+def valid_entry_is_read(context, left_out):
     assert [one.name for one in context.decoded.accepted] == ['i-1']
-    (key,) = context.pieces.rejected_objects.objects
-    (field,) = context.pieces.rejected_objects.objects[key].fields
+    (key,) = context.decoder.rejected_objects.objects
+    (field,) = context.decoder.rejected_objects.objects[key].fields
     assert left_out in (key, field), (key, field)
 
 
 @then('the target of the bad entry is told as removed')
-def told_as_removed(context):
+def reported_as_removed(context):
     assert context.decoded.rejected == ('i-bad',), context.decoded
 
 
@@ -130,37 +132,37 @@
 @when('an object is refused {first:d} times at revision {one:d} and '
       '{second:d} times at revision {two:d}')  # fmt: skip
 def refused_again(context, first, one, second, two):
-    context.pieces = Pieces()
+    context.decoder = AnswerDecoder()
     for revision in [one] * first + [two] * second:
         document = {'meta': {'name': 'i-"x"', 'revision': revision}}
         stored = documents.read_object(objects.TARGET_KIND, document)
-        context.pieces.decode([stored])
+        context.decoder.decode([stored])
 
 
 @then('{count:d} lines tell of it, and the metrics name object and field')
-def lines_tell(context, count):
-    total = context.pieces.metrics.totals['refused.invalid_object']
+def rejections_counted(context, count):
+    total = context.decoder.metrics.totals['refused.invalid_object']
     assert total == count, total
-    text = context.pieces.rejected_objects.text()
+    text = context.decoder.rejected_objects.text()
     wanted = 'liftmount_left_out{object="servers/i-\\"x\\"",field=""} 1\n'
     assert text == wanted, text
 
 
 @when('the object is read well again')
-def read_well(context):
+def object_accepted(context):
     meta = {'name': 'i-"x"', 'revision': 6}
     document = {'meta': meta, 'spec': ENTRY}
     stored = documents.read_object(objects.TARGET_KIND, document)
     decode_all(
         [stored],
         lambda *_arguments: stored,
-        context.pieces.rejected_objects.record,
+        context.decoder.rejected_objects.record,
     )
 
 
 @then('the metrics name it no more')
-def named_no_more(context):
-    assert context.pieces.rejected_objects.text() == ''
+def not_in_metrics(context):
+    assert context.decoder.rejected_objects.text() == ''
 
 
 @when('a configuration of another name is read')
@@ -171,7 +173,7 @@
 
 
 @when('a member hands over a route of the kind {kind}')
-def member_hands_over(context, kind):
+def member_sends_route(context, kind):
     address = parse_endpoint('198.51.100.1:8443')
     route = Route(
         'one', address, RouteKind.UPLOAD, (ServiceShare('guide', 1),), 0, 0
@@ -181,17 +183,17 @@
     document = cbor2.loads(wire.zlib.decompress(data))
     document[2][1][0][2] = kind
     told = wire.zlib.compress(cbor2.dumps(document))
-    context.told = wire.decode_snapshot(told).table
+    context.decoded_table = wire.decode_snapshot(told).table
 
 
 @then('it is served as {kind}')
 def served_as(context, kind):
-    (route,) = context.told.routes.values()
+    (route,) = context.decoded_table.routes.values()
     assert route.kind is RouteKind(kind), route
 
 
 @when('{count:d} lists hold good entries among random pieces')
-def random_pieces(context, count):
+def random_items(context, count):
     context.lists = 0
     whole = strategies.builds(json.dumps, JSON)
     # Cut short, so that no rule of JSON holds in them; brackets and quotes
@@ -204,8 +206,8 @@
     )
     @given_values(strategies.lists(piece, max_size=4))
     def check(others):
-        body = body_of('items', [*others, GOOD, *others])
-        pieces = Pieces()
+        body = body_of('items', [*others, VALID_ITEM, *others])
+        pieces = AnswerDecoder()
         listing = pieces.read(documents.read_list, body)
         names = [one.name for one in pieces.decode(listing.items).accepted]
         assert names == ['i-1'], names
@@ -215,6 +217,6 @@
 
 
 @then('each good entry was read')
-def good_were_read(context):
+def valid_entries_are_read(context):
     # What was not has failed the step before.
     assert context.lists > 0
--- a/tests/features/steps/measurements_steps.py
+++ b/tests/features/steps/measurements_steps.py
@@ -74,7 +74,7 @@
 
 @then('the silences are one after {first:d} and {second:d} ms with {resets:d} '
       'resets, and one after {third:d} ms with {none:d} resets')  # fmt: skip
-def silences_are(context, first, second, resets, third, none):
+def unresponsive_periods_are(context, first, second, resets, third, none):
     found = [
         ([at - one.doubted_ms for at in one.judged_ms], one.resets)
         for one in context.silence_table.silences
@@ -83,7 +83,7 @@
 
 
 @then('{count:d} doubt was dispelled')
-def doubts_dispelled(context, count):
+def stalls_cleared(context, count):
     assert context.silence_table.dispelled == count
 
 
--- a/tests/features/steps/pages_steps.py
+++ b/tests/features/steps/pages_steps.py
@@ -34,7 +34,7 @@
 
 
 @then('every link between pages leads to a file')
-def links_lead(_context):
+def links_resolve(_context):
     pages = [*ROOT.glob('*.md'), *ROOT.glob('docs/**/*.md')]
     assert len(pages) > 10
     for one in pages:
@@ -50,7 +50,7 @@
         assert (ROOT / 'src/liftmount/_internal' / name).exists(), name
 
 
-def indented_toml(text, heading):
+def read_indented_block(text, heading):
     """Return the indented block that follows a heading."""
     after = text.split(heading, 1)[1]
     lines = []
@@ -66,7 +66,9 @@
 
 @then('the example of docs/operators/settings.md is taken')
 def settings_example(context):
-    text = indented_toml(page('docs/operators/settings.md'), '## Example')
+    text = read_indented_block(
+        page('docs/operators/settings.md'), '## Example'
+    )
     path = Path(context.directory) / 'example.toml'
     path.write_text(text)
     assert load_settings(path).instance.name == 'lm-1'
@@ -75,11 +77,11 @@
 @then('the worked example "{team}" of docs/operators/teams.md is taken')
 def team_example(_context, team):
     text = page('docs/operators/teams.md')
-    document = tomllib.loads(indented_toml(text, f'### Team {team}'))
+    document = tomllib.loads(read_indented_block(text, f'### Team {team}'))
     parsed = parse_team(document, team)
     heading = f'### Template {parsed.template}'
     template = parse_template(
-        tomllib.loads(indented_toml(text, heading)), 'template'
+        tomllib.loads(read_indented_block(text, heading)), 'template'
     )
     assert resolve_services(parsed, template, team)
 
--- a/tests/features/steps/process_steps.py
+++ b/tests/features/steps/process_steps.py
@@ -30,8 +30,8 @@
 STORE_GROUP = 40
 PACKETS, READY, PEER, STORE, TARGET = range(5)
 PROBE_S = 0.5
-PATIENCE_S = 12.0
-CLOSED_S = 6.0
+TIMEOUT_S = 12.0
+STOP_TIMEOUT_S = 6.0
 
 
 class TargetThread:
@@ -39,7 +39,7 @@
 
     def __init__(self, number, ip, port, client_port):
         self.number = number
-        self.got = []
+        self.received = []
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.socket.bind((ip, port))
         self.address = f'{ip}:{port}'
@@ -55,7 +55,7 @@
             if int.from_bytes(data[:8], 'big') != self.number:
                 continue
             packet = data[8:]
-            self.got.append(packet)
+            self.received.append(packet)
             segment = packet_headers.read(packet)
             if segment.opens:
                 answer = packet_headers.HEADER.pack(
@@ -154,7 +154,7 @@
         self.ends = (numbers[0], int(port), numbers[1], 40_001)
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._socket.bind((own_ip, base + PACKETS))
-        self._socket.settimeout(PATIENCE_S)
+        self._socket.settimeout(TIMEOUT_S)
 
     def __enter__(self):
         return self
@@ -191,7 +191,7 @@
         self.store.stop()
 
 
-def wait_until(condition, limit_s=PATIENCE_S):
+def wait_until(condition, limit_s=TIMEOUT_S):
     """Wait for a condition; return whether it came true."""
     until = time.monotonic() + limit_s
     while time.monotonic() < until:
@@ -279,14 +279,14 @@
 
 
 @when('both know each other')
-def both_know(context):
-    def knows():
+def both_have_joined(context):
+    def have_two_members():
         return all(
             any(line['members'] == 2 for line in one.events('order'))
             for one in context.deployment.balancers
         )
 
-    assert wait_until(knows)
+    assert wait_until(have_two_members)
 
 
 @when('the first one is killed, and the second one takes it for dead')
@@ -331,38 +331,38 @@
         tag = client.open().tag
         for index in range(count):
             payload = f'part {index}'.encode()
-            head = packet_headers.HEADER.pack(
+            header = packet_headers.HEADER.pack(
                 11 + index, 1_001, len(payload), *client.ends, tag, 78, ACK, 0
             )
-            context.sent.append(head + payload)
-            client.send(head + payload)
+            context.sent.append(header + payload)
+            client.send(header + payload)
             time.sleep(0.01)
 
 
 @then('one target got all of them, in the form that the client wrote')
-def one_target_got_all(context):
-    def holders():
+def one_target_received_all(context):
+    def receivers():
         return [
             one
             for one in context.deployment.targets
-            if one.got[1:] == context.sent
+            if one.received[1:] == context.sent
         ]
 
-    assert wait_until(lambda: len(holders()) == 1), [
-        len(one.got) for one in context.deployment.targets
+    assert wait_until(lambda: len(receivers()) == 1), [
+        len(one.received) for one in context.deployment.targets
     ]
-    others = [one for one in context.deployment.targets if not one.got]
+    others = [one for one in context.deployment.targets if not one.received]
     assert len(others) == len(context.deployment.targets) - 1
 
 
 @when('{interval:d} ms go by')
-def time_goes_by(_context, interval):
+def wait_ms(_context, interval):
     time.sleep(interval / 1_000)
 
 
 @then('all balancers hold version {version:d} within {limit:d} ms')
-def all_hold_version(context, version, limit):
-    def held():
+def version_is_in_force(context, version, limit):
+    def is_in_force():
         return all(
             any(
                 line['in_force'] == version
@@ -371,7 +371,7 @@
             for one in context.deployment.balancers
         )
 
-    assert wait_until(held, limit / 1_000)
+    assert wait_until(is_in_force, limit / 1_000)
 
 
 @when('an operator evacuates domain {domain}')
@@ -380,19 +380,19 @@
 
 
 @when('an operator takes domain {domain} back')
-def take_back(context, domain):
+def return_domain(context, domain):
     context.store.call(context.store.store.remove('evacuations', domain))
 
 
 @then('all balancers hold {domain} for {event} within {limit:d} ms')
-def all_hold_evacuation(context, domain, event, limit):
-    def held():
+def evacuation_is_logged(context, domain, event, limit):
+    def is_in_force():
         return all(
             any(line['failure_domain'] == domain for line in one.events(event))
             for one in context.deployment.balancers
         )
 
-    assert wait_until(held, limit / 1_000)
+    assert wait_until(is_in_force, limit / 1_000)
 
 
 @then('a client that opens a flow to {address} is refused at once')
@@ -426,18 +426,18 @@
     context.statuses = []
     while balancer.process.poll() is None:
         context.statuses.append(balancer.ready()[0])
-        if time.monotonic() - context.stopped > 2 * CLOSED_S:
+        if time.monotonic() - context.stopped > 2 * STOP_TIMEOUT_S:
             break
         time.sleep(PROBE_S)
-    context.lasted_ms = 1_000 * (time.monotonic() - context.stopped)
+    context.stop_duration_ms = 1_000 * (time.monotonic() - context.stopped)
 
 
 @then('it answered 503 twice or more, and ended with status 0 within '
       '{limit:d} ms')  # fmt: skip
-def ended_well(context, limit):
+def stopped_as_planned(context, limit):
     assert context.statuses.count(503) >= 2, context.statuses
     assert context.balancer.process.poll() == 0
-    assert context.lasted_ms <= limit, context.lasted_ms
+    assert context.stop_duration_ms <= limit, context.stop_duration_ms
 
 
 @when('a balancer in domain {domain} gets SIGTERM in its first moments')
@@ -462,7 +462,7 @@
 
 @then('it said that it forwards on, and ended with status 0 within {limit:d} '
       'ms')  # fmt: skip
-def ended_early(context, limit):
+def stopped_during_startup(context, limit):
     process = context.balancer.process
     assert process.wait(limit / 1_000) == 0, process.returncode
     assert context.balancer.events('left')
@@ -507,7 +507,7 @@
 def metrics_show(context, count, version):
     url = f'http://{context.balancer.ip}:{METRICS_PORT}/metrics'
 
-    def figures():
+    def read_metrics():
         try:
             with urllib.request.urlopen(url, timeout=PROBE_S) as answer:
                 lines = answer.read().decode().splitlines()
@@ -515,8 +515,8 @@
             return {}
         return dict(line.rsplit(' ', 1) for line in lines)
 
-    assert wait_until(figures), 'no metrics'
-    found = figures()
+    assert wait_until(read_metrics), 'no metrics'
+    found = read_metrics()
     placed = found['liftmount_placed_total{reason="repeatable"}']
     assert int(placed) >= count, found
     assert found['liftmount_configuration_version'] == str(version), found
--- a/tests/features/steps/product_steps.py
+++ b/tests/features/steps/product_steps.py
@@ -64,7 +64,7 @@
     ],
 }
 
-PATIENCE_S = 15.0
+TIMEOUT_S = 15.0
 
 
 @given('good settings')
@@ -131,10 +131,10 @@
 @given('a good team')
 def good_team(context):
     context.team = copy.deepcopy(TEAM)
-    check_team(context.team)
+    resolve_team(context.team)
 
 
-def check_team(document):
+def resolve_team(document):
     team = parse_team(document, 'team.toml')
     template = parse_template(TEMPLATE, 'template.toml')
     return resolve_services(team, template, 'team.toml')
@@ -143,16 +143,18 @@
 @when('the team\'s "{key}" becomes {value}')
 def change_team(context, key, value):
     *parents, last = key.split('.')
-    place = context.team
+    container = context.team
     for part in parents:
-        place = place[int(part)] if part.isdecimal() else place[part]
-    place[last] = ast.literal_eval(value)
+        container = (
+            container[int(part)] if part.isdecimal() else container[part]
+        )
+    container[last] = ast.literal_eval(value)
 
 
 @then('the team is refused at "{key}" with "{message}"')
 def team_refused(context, key, message):
     try:
-        check_team(context.team)
+        resolve_team(context.team)
     except ConfigurationError as error:
         lines = [str(problem) for problem in error.problems]
     else:
@@ -250,7 +252,7 @@
 @then('the owner of guidance of firm-a soon holds {name} for evacuated')
 def owner_holds_evacuated(context, name):
     wanted = set() if name == 'none' else {name}
-    until = time.monotonic() + PATIENCE_S
+    until = time.monotonic() + TIMEOUT_S
     while (found := evacuated_at_owner(context)) != wanted:
         assert time.monotonic() < until, found
         time.sleep(0.2)
@@ -309,7 +311,7 @@
 
 
 @then('the socket got a counter for each reason and "{last}"')
-def got_counters(context, last):
+def counters_received(context, last):
     expected = {last}
     for reason in Reason:
         kind = 'retried' if reason.value.startswith('retry_') else 'refused'
@@ -351,7 +353,7 @@
 
 
 @when('the load endpoint of a target lies')
-def load_lies(context):
+def override_load(context):
     deployment = context.deployment
     deployment.set_target('guidance-1', 'firm-a', lies=42, lag_ms=10_000)
     plan = deployment.target_plans[0]
@@ -360,6 +362,6 @@
 
 
 @then('it shows the lie')
-def shows_lie(context):
+def shows_override(context):
     assert context.load.strip() == '42', context.load
     assert context.health.strip() == 'ok', context.health
--- a/tests/features/steps/soak_steps.py
+++ b/tests/features/steps/soak_steps.py
@@ -92,17 +92,17 @@
 
 
 @given('the faults {name}')
-def the_faults(context, name):
+def fault_plan(context, name):
     context.plan = PLANS[name]
 
 
 @when('they are played on {count:d} balancers in each domain')
-def faults_played(context, count):
+def run_faults(context, count):
     play(context, SEED, count, context.plan)
 
 
 @when('seed {seed:d} is played on {count:d} balancers in each domain')
-def seed_played(context, seed, count):
+def run_seed(context, seed, count):
     play(context, seed, count, ())
 
 
@@ -116,7 +116,7 @@
 
 
 @then('no promise is broken')
-def none_broken(context):
+def no_promise_broken(context):
     assert not context.outcome.breaches, context.outcome
 
 
@@ -124,15 +124,15 @@
 def share_served(context, share):
     counts = context.outcome.counts
     served = counts['served']
-    asked = served + counts.get('unserved', 0)
-    assert served >= share * asked, counts
+    requested = served + counts.get('unserved', 0)
+    assert served >= share * requested, counts
 
 
 @then('at most {share:g} of them took long')
 def share_slow(context, share):
     counts = context.outcome.counts
-    asked = counts['served'] + counts.get('unserved', 0)
-    assert counts['slow'] <= share * asked, counts
+    requested = counts['served'] + counts.get('unserved', 0)
+    assert counts['slow'] <= share * requested, counts
 
 
 # Judges.
@@ -166,7 +166,7 @@
     return {'try': f'r.{attempt}', 'request': 'r', 'kind': kind.value}
 
 
-def run_tries(context, kind, *attempts):
+def run_attempts(context, kind, *attempts):
     """Let tries run, each at a target of its own."""
     for number, attempt in enumerate(attempts):
         target = FakeTarget(f'i-{number}')
@@ -197,21 +197,21 @@
     context.witness.reset(FLOW, BALANCER_IP)
 
 
-def ask(context, served, asked):
+def record_requests(context, served, requested):
     """Let requests come to their end after the last fault."""
     load = Load(Kind.STREAM, 'guide', 1, 1, 1)
-    for number in range(asked):
+    for number in range(requested):
         context.witness.asked(load, NOW_MS, NOW_MS, number < served)
     context.witness.check_recovery(NOW_MS, NOW_MS)
 
 
 EVENTS = {
-    'a request runs': lambda c: run_tries(c, Kind.AT_MOST_ONCE, 0),
-    'a try runs at two targets': lambda c: run_tries(c, Kind.STREAM, 0, 0),
+    'a request runs': lambda c: run_attempts(c, Kind.AT_MOST_ONCE, 0),
+    'a try runs at two targets': lambda c: run_attempts(c, Kind.STREAM, 0, 0),
     'a request that must not be repeated runs in two tries': lambda c: (
-        run_tries(c, Kind.AT_MOST_ONCE, 0, 1)
+        run_attempts(c, Kind.AT_MOST_ONCE, 0, 1)
     ),
-    'a request that may be repeated runs in two tries': lambda c: run_tries(
+    'a request that may be repeated runs in two tries': lambda c: run_attempts(
         c, Kind.STREAM, 0, 1
     ),
     'an opening reaches a target of its service': open_at,
@@ -244,24 +244,30 @@
     'an answer belongs to another request': lambda c: c.witness.mixed(
         'r.0', 's.0'
     ),
-    '94 of 100 requests are served at the end': lambda c: ask(c, 94, 100),
-    '95 of 100 requests are served at the end': lambda c: ask(c, 95, 100),
-    '5 of 5 requests are served at the end': lambda c: ask(c, 5, 5),
+    '94 of 100 requests are served at the end': lambda c: record_requests(
+        c, 94, 100
+    ),
+    '95 of 100 requests are served at the end': lambda c: record_requests(
+        c, 95, 100
+    ),
+    '5 of 5 requests are served at the end': lambda c: record_requests(
+        c, 5, 5
+    ),
 }
 
 
 @when('it hears that {event}')
-def hears(context, event):
+def event_happens(context, event):
     EVENTS[event](context)
 
 
 @then('it notes nothing')
-def notes_nothing(context):
+def no_breach_recorded(context):
     assert not context.witness.breaches, context.witness.breaches
 
 
 @then('it notes "{promise}"')
-def notes(context, promise):
+def breach_recorded(context, promise):
     found = [one.promise for one in context.witness.breaches]
     assert found == [promise], found
 
@@ -292,10 +298,10 @@
 
 
 @when('{count:d} bytes go each way and {loss:g} of the packets are lost')
-def bytes_go(context, count, loss):
+def transfer_both_ways(context, count, loss):
     rng = random.Random(SEED)
     context.data = [rng.randbytes(count) for _ in range(2)]
-    context.got = [b'', b'']
+    context.received = [b'', b'']
     wires = ([], [])
     ends = []
     for side in range(2):
@@ -315,14 +321,14 @@
         for side, end in enumerate(ends):
             arrived, wires[side][:] = list(wires[side]), []
             for packet in arrived:
-                context.got[side] += end.take(packet, now_ms)
+                context.received[side] += end.take(packet, now_ms)
             end.tick(now_ms)
 
 
 @then('both ends hold what the other one wrote')
 def both_hold(context):
-    assert context.got[0] == context.data[1]
-    assert context.got[1] == context.data[0]
+    assert context.received[0] == context.data[1]
+    assert context.received[1] == context.data[0]
 
 
 # Plans.
--- a/tests/features/steps/start_steps.py
+++ b/tests/features/steps/start_steps.py
@@ -58,7 +58,7 @@
 
 
 @given('a module whose import takes turns')
-def slow_module(context):
+def module_with_imports(context):
     lines = {
         'lm_turns_outer': 'import lm_turns_one\nimport lm_turns_two',
         'lm_turns_one': '',
@@ -69,17 +69,17 @@
 
 
 @when('it is imported in such a context')
-def import_in_turns(context):
-    context.turns = 0
+def import_with_hook(context):
+    context.callback_calls = 0
 
-    def turn():
-        context.turns += 1
+    def callback():
+        context.callback_calls += 1
         # What a turn imports takes none.
         importlib.import_module('wave')
 
     sys.path.insert(0, str(context.directory))
     try:
-        with ImportHook(turn):
+        with ImportHook(callback):
             importlib.import_module('lm_turns_outer')
         importlib.import_module('chunk')
     finally:
@@ -89,8 +89,8 @@
 
 @then('a turn was taken before it and before each of the {count:d} modules '
       'that it imports')  # fmt: skip
-def turns_taken(context, count):
-    assert context.turns == 1 + count, context.turns
+def callback_calls_counted(context, count):
+    assert context.callback_calls == 1 + count, context.callback_calls
 
 
 @then('none of them is {names}')
@@ -121,13 +121,13 @@
 
 
 @then('no module outside liftmount/platform imports it')
-def nobody_imports(_context):
+def no_imports_outside(_context):
     found = [path for path, text in outside_adapter() if IMPORTS.search(text)]
     assert not found, found
 
 
 @then('no module outside liftmount/platform names a field of the platform')
-def nobody_names(_context):
+def no_fields_outside(_context):
     found = [
         (str(path), FIELDS.findall(text))
         for path, text in outside_adapter()
--- a/tests/features/steps/early_steps.py
+++ b/tests/features/steps/startup_steps.py
@@ -23,14 +23,14 @@
 from stand_ins.store import StoreThread
 from tests.features.steps.adapter_steps import CONFIGURATION
 from tests.features.steps.adapter_steps import ENTRY
-from tests.features.steps.adapter_steps import HEAD_VALUES
+from tests.features.steps.adapter_steps import HEADER_VALUES
 
 BALANCER, STORE, TARGET = range(1, 4)
 PACKETS, READY, HTTP, DATAGRAMS = range(4)
-PATIENCE_S = 10.0
-PAUSE_S = 0.005
+TIMEOUT_S = 10.0
+POLL_INTERVAL_S = 0.005
 # A turn of a balancer on a busy machine; one that waited took 300 ms.
-LONGEST_TURN_S = 0.25
+MAX_ITERATION_S = 0.25
 SYN = 2
 
 
@@ -51,9 +51,9 @@
 @given('a store that holds {count:d} targets and a configuration')
 def store_with(context, count):
     start_store(context)
-    place = str(endpoint(context, TARGET, DATAGRAMS))
+    address = str(endpoint(context, TARGET, DATAGRAMS))
     for number in range(count):
-        spec = {**ENTRY, 'address': place}
+        spec = {**ENTRY, 'address': address}
         context.store.write('servers', f'one-{number:04x}', spec)
     context.store.write('config', 'main', CONFIGURATION)
     context.count = count
@@ -77,7 +77,7 @@
     )
 
 
-def start_early(context):
+def begin_startup(context):
     """Start a balancer, with its lists under way."""
     startup = create_startup_context(make_settings(context), packet_headers)
     context.add_cleanup(startup.path.socket.close)
@@ -99,18 +99,18 @@
     context.serving = StartupLoop(startup, lists)
 
 
-def take_turns(context, until, patience_s=PATIENCE_S):
+def run_until(context, is_done, timeout_s=TIMEOUT_S):
     """Take turns until something holds; return whether it did."""
-    end_s = time.monotonic() + patience_s
-    context.longest_s = 0.0
-    while not until():
+    end_s = time.monotonic() + timeout_s
+    context.max_iteration_s = 0.0
+    while not is_done():
         before_s = time.monotonic()
         if before_s >= end_s:
             return False
         context.serving.run_once()
-        spent_s = time.monotonic() - before_s
-        context.longest_s = max(context.longest_s, spent_s)
-        time.sleep(PAUSE_S)
+        elapsed_s = time.monotonic() - before_s
+        context.max_iteration_s = max(context.max_iteration_s, elapsed_s)
+        time.sleep(POLL_INTERVAL_S)
     return True
 
 
@@ -120,26 +120,26 @@
     context.target.bind(endpoint(context, TARGET, DATAGRAMS).socket_address())
     context.target.setblocking(False)
     context.add_cleanup(context.target.close)
-    start_early(context)
-    values = [*HEAD_VALUES]
+    begin_startup(context)
+    values = [*HEADER_VALUES]
     values[2] = 0
     values[-2] = SYN
     context.opening = packet_headers.HEADER.pack(*values)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as client:
-        place = endpoint(context, BALANCER, PACKETS)
-        client.sendto(context.opening, place.socket_address())
+        address = endpoint(context, BALANCER, PACKETS)
+        client.sendto(context.opening, address.socket_address())
 
 
 @when('a balancer takes turns until it knows routes and targets')
-def turns_until_known(context):
+def run_until_complete(context):
     if 'startup' not in context:
-        start_early(context)
+        begin_startup(context)
     state = context.startup.path.state
-    assert take_turns(context, lambda: state.is_complete)
+    assert run_until(context, lambda: state.is_complete)
 
 
 @then("it knows {count:d} targets, as of the store's revision")
-def knows_targets(context, count):
+def targets_are_listed(context, count):
     startup = context.startup
     assert len(startup.path.state.tags.entries) == count
     revision = context.store.store.revision
@@ -149,28 +149,28 @@
 
 
 @then('the target gets the opening within further turns')
-def target_gets(context):
-    got = []
+def target_receives(context):
+    received = []
 
     def arrived():
         try:
-            got.append(context.target.recv(2_048))
+            received.append(context.target.recv(2_048))
         except BlockingIOError:
             return False
         return True
 
-    assert take_turns(context, arrived)
-    assert packet_headers.read(got[0][8:]).opens, got
+    assert run_until(context, arrived)
+    assert packet_headers.read(received[0][8:]).opens, received
 
 
 @when('the store {trouble}, and a balancer takes turns for {interval:d} ms')
-def turns_in_trouble(context, trouble, interval):
+def run_with_faulty_store(context, trouble, interval):
     context.store.store.trouble = trouble
-    start_early(context)
-    take_turns(context, lambda: False, interval / 1_000)
+    begin_startup(context)
+    run_until(context, lambda: False, interval / 1_000)
 
 
-def said(context):
+def logged_events(context):
     """Return the events that the balancer has logged."""
     reading, writing = os.pipe()
     with os.fdopen(reading, 'rb') as stream:
@@ -182,11 +182,11 @@
 
 
 @then('it knows nothing, no turn took long, and it {what}')
-def knows_nothing(context, what):
+def nothing_is_listed(context, what):
     assert not context.startup.listings
     assert not context.startup.path.state.is_complete
-    assert context.longest_s < LONGEST_TURN_S, context.longest_s
-    has_failed = 'first_list_failed' in said(context)
+    assert context.max_iteration_s < MAX_ITERATION_S, context.max_iteration_s
+    has_failed = 'first_list_failed' in logged_events(context)
     assert has_failed == (what == 'says that a list failed'), what
 
 
@@ -212,10 +212,10 @@
 
 
 @then('it listens at the address of its settings, {how}')
-def listens(context, how):
+def listens_at_address(context, how):
     found = context.startup.path.socket
-    place = endpoint(context, BALANCER, PACKETS).socket_address()
-    assert found.getsockname() == place
+    address = endpoint(context, BALANCER, PACKETS).socket_address()
+    assert found.getsockname() == address
     assert (found is context.bound) == (how == 'by that socket')
 
 
@@ -225,10 +225,10 @@
     context.add_cleanup(taken.close)
     taken.bind(endpoint(context, BALANCER, READY).socket_address())
     taken.listen()
-    start_early(context)
+    begin_startup(context)
 
 
 @then('a balancer starts without it and says so')
-def starts_without(context):
+def starts_without_readiness(context):
     assert context.startup.readiness is None
-    assert 'not_bound' in said(context)
+    assert 'not_bound' in logged_events(context)
--- a/tests/features/steps/trace_steps.py
+++ b/tests/features/steps/trace_steps.py
@@ -28,7 +28,7 @@
 
 
 @given('the log {name} also holds "{first}", "{second}" and "{third}"')
-def also_holds(context, name, first, second, third):
+def add_lines(context, name, first, second, third):
     for text in (first, second, third):
         append(context, name, text)
 
--- a/tests/features/steps/transfer_steps.py
+++ b/tests/features/steps/transfer_steps.py
@@ -27,18 +27,18 @@
 from liftmount.platform.feeds import SOURCES
 from liftmount.platform.store import PlatformStore
 from liftmount.platform.store_feed import StoreFeed
-from tests.features.steps.early_steps import endpoint
-from tests.features.steps.early_steps import HTTP
-from tests.features.steps.early_steps import start_early
-from tests.features.steps.early_steps import start_store
-from tests.features.steps.early_steps import STORE
-from tests.features.steps.early_steps import take_turns
 from tests.features.steps.forwarding_steps import make_entry
 from tests.features.steps.process_steps import start_balancer
+from tests.features.steps.startup_steps import begin_startup
+from tests.features.steps.startup_steps import endpoint
+from tests.features.steps.startup_steps import HTTP
+from tests.features.steps.startup_steps import run_until
+from tests.features.steps.startup_steps import start_store
+from tests.features.steps.startup_steps import STORE
 
 SHARES = {'all': 1.0, 'half': 0.5, 'a third': 0.3, 'none': 0.0}
 VERSION = 9
-LIMIT_S = 15.0
+TIMEOUT_S = 15.0
 SETTLE_S = 0.2
 
 
@@ -95,10 +95,10 @@
     store = PlatformStore([endpoint(context, STORE, HTTP)])
     kind, read = SOURCES[ROUTES]
 
-    def note(_key, _revision, problems):
+    def record_problems(_key, _revision, problems):
         context.refused.extend(problems)
 
-    return StoreFeed(store, kind, read, note)
+    return StoreFeed(store, kind, read, record_problems)
 
 
 @when('{share} of a list of them arrives')
@@ -118,20 +118,20 @@
         context.listing = asyncio.run(fetch())
     except PlatformError:
         pass
-    context.took_ms = 1_000 * (time.monotonic() - before_s)
+    context.duration_ms = 1_000 * (time.monotonic() - before_s)
 
 
 @then('the list is {outcome} after {first:d} to {last:d} ms')
 def list_outcome(context, outcome, first, last):
     assert (context.listing is not None) == (outcome == 'read')
-    assert first <= context.took_ms <= last, context.took_ms
+    assert first <= context.duration_ms <= last, context.duration_ms
 
 
 @then('its age is what its transfer took, and so old is what is known of '
       'routes')  # fmt: skip
 def list_age(context):
     age_ms = context.listing.age_ms
-    assert 0.7 * context.took_ms < age_ms <= context.took_ms, age_ms
+    assert 0.7 * context.duration_ms < age_ms <= context.duration_ms, age_ms
     state = dissemination.DisseminationState('me', 0)
     now_ms = 1_000_000
     state.read_ms = dict.fromkeys(state.feeds, now_ms)
@@ -155,18 +155,18 @@
 
 @when('a balancer takes turns until its list of routes has begun to arrive')
 def list_begins(context):
-    start_early(context)
+    begin_startup(context)
     first = context.serving._lists[ROUTES]
 
     def has_begun():
         return first.is_request_sent and first._began_ms is not None
 
-    assert take_turns(context, has_begun)
+    assert run_until(context, has_begun)
     assert not context.startup.path.state.is_complete
 
 
 @when('its lists are handed over to the event loop')
-def hand_over(context):
+def release_lists(context):
     context.serving.release_pending_lists()
     assert ROUTES in context.startup.pending_lists
 
@@ -184,7 +184,7 @@
         self.posted.append(message)
 
 
-async def follow_routes(context, until):
+async def follow_routes(context, is_done):
     """Run the feed of routes until something holds."""
     kernel = Kernel(Clock())
     listener = Listener()
@@ -201,8 +201,8 @@
     )
     task = asyncio.create_task(service.run())
     try:
-        async with asyncio.timeout(LIMIT_S):
-            while not until(service, listener):
+        async with asyncio.timeout(TIMEOUT_S):
+            while not is_done(service, listener):
                 await asyncio.sleep(0.01)
     finally:
         task.cancel()
@@ -225,19 +225,19 @@
 
 
 @then('the loop gets all {count:d} routes')
-def loop_gets(context, count):
-    def until(service, listener):
+def loop_receives(context, count):
+    def is_done(service, listener):
         if service.state.failures:
             context.store.store.faults.arrives = 1.0
         return routes_posted(listener)
 
-    listener = asyncio.run(follow_routes(context, until))
+    listener = asyncio.run(follow_routes(context, is_done))
     assert routes_posted(listener) == count
 
 
 @then('the loop gets all {count:d} routes, and no list was asked for twice')
-def loop_gets_once(context, count):
-    loop_gets(context, count)
+def loop_receives_once(context, count):
+    loop_receives(context, count)
     assert context.store.store.listed['config'] == 1
 
 
@@ -246,18 +246,18 @@
 
     def __init__(self):
         self.calls = []
-        self.go_on = asyncio.Event()
+        self.may_finish = asyncio.Event()
 
     async def fetch(self, may_lag, timeout_ms):
         """List, some time."""
         self.calls.append('a list')
-        await self.go_on.wait()
+        await self.may_finish.wait()
         return Listing((), 12)
 
     async def watch(self, revision, wait_ms, timeout_ms):
         """Watch for ever."""
         self.calls.append('a watch')
-        await asyncio.sleep(LIMIT_S)
+        await asyncio.sleep(TIMEOUT_S)
 
     def close(self):
         """Drop nothing."""
@@ -269,26 +269,26 @@
 
 
 @when('it is told to rest')
-def told_to_rest(context):
+def pause_feed(context):
     context.messages = [list_watch.Paused()]
 
 
 @when('it is told to rest, and a peer tells all')
-def told_to_rest_and_known(context):
+def pause_and_provide_list(context):
     context.messages = [list_watch.Paused(), list_watch.ListKnown(10)]
 
 
 @when('a peer tells all')
-def peer_tells(context):
+def provide_list(context):
     context.messages = [list_watch.ListKnown(10)]
 
 
 @when('it is told to rest, and to read again')
-def rest_and_read(context):
+def pause_and_resume(context):
     context.messages = [list_watch.Paused(), list_watch.Resumed(None)]
 
 
-async def play_feed(context):
+async def run_feed(context):
     """Run a feed through the messages; return its calls and news."""
     kernel = Kernel(Clock())
     listener = Listener()
@@ -304,7 +304,7 @@
     for message in context.messages:
         service.post(message)
     await asyncio.sleep(SETTLE_S)
-    feed.go_on.set()
+    feed.may_finish.set()
     await asyncio.sleep(SETTLE_S)
     if service.state.revision == 10:
         # The watch after a peer's knowledge waits for a while.
@@ -315,8 +315,8 @@
 
 
 @then('the list {outcome}, and its next call is {call}')
-def list_goes_on(context, outcome, call):
-    calls, posted = asyncio.run(play_feed(context))
+def list_continues(context, outcome, call):
+    calls, posted = asyncio.run(run_feed(context))
     assert bool(posted) == (outcome == 'goes on'), posted
     wanted = ['a list'] if call == 'none' else ['a list', call]
     assert calls == wanted, calls
@@ -325,7 +325,7 @@
 @given('a balancer that knows one target, and has just {transfer}')
 def balancer_with_target(context, transfer):
     start_store(context)
-    start_early(context)
+    begin_startup(context)
     path = context.startup.path
     path.clock = ManualClock(1_000_000)
     entry = make_entry('one', 'guide')
@@ -356,6 +356,6 @@
 
 
 @then('by its probes the target is {belief}')
-def target_believed(context, belief):
+def target_health_is(context, belief):
     is_dead = context.startup.path.state.health.is_dead('one')
     assert is_dead == (belief == 'dead'), context.startup.path.pending_probes
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -199,7 +199,7 @@
         'return [*_report_regained(state), List(0, may_lag=False)]',
         'return [Watch(MAX_RETRY_MS, state.revision)]',
         SOAK,
-        'the store forgets what nobody',
+        'the store drops history',
     ),
     Mutation(
         'soak: a planned stop does not wait',
@@ -231,7 +231,7 @@
         'event.now_ms - update.age_ms',
         'event.now_ms',
         TRANSFERS,
-        'as old as the beginning of its answer',
+        'counts from the beginning of its answer',
     ),
     Mutation(
         'readers: the first watch waits',
@@ -263,7 +263,7 @@
         'self._limit.reschedule(now_s + seconds(PROGRESS_TIMEOUT_MS))',
         'pass',
         TRANSFERS,
-        'A call ends for want of progress',
+        'A call times out for lack of progress',
     ),
     Mutation(
         'transfers: a first list ends when its member rests',
@@ -271,7 +271,7 @@
         '    if _is_first_list_pending(state):\n        # Those',
         '    if False:\n        # Those',
         TRANSFERS,
-        'Who reads the store when another one begins to',
+        'first list when the feed is paused or a peer provides',
     ),
     Mutation(
         'evacuations: targets of an evacuated domain get new flows',
@@ -383,7 +383,7 @@
         'return not self.link.is_busy(sent.sent_ms)',
         'return True',
         TRANSFERS,
-        'Silence of a target says nothing while the own link is busy',
+        'own link is busy',
     ),
     Mutation(
         'the own link is never busy',
