--- a/tests/features/platform/adapter.feature
+++ b/tests/features/platform/adapter.feature
@@ -1,27 +1,28 @@
-Feature: The adapter reads what the platform writes, and refuses the rest
-  Bytes and documents in, types of the project out.
+Feature: Platform adapter
+  Packets, stored objects and settings are parsed; input that is invalid is
+  rejected with an error of the project.
 
-  Scenario: A head is read field by field
-    When a packet with known fields is read
-    Then each field of the segment has its value
+  Scenario: A packet header is parsed field by field
+    When a packet with known fields is parsed
+    Then each field of the segment has the expected value
 
-  Scenario: A packet is passed on unchanged but for its tag
-    When a packet with known fields is passed on to target number 0x7f3a91c2
-    Then eight bytes name the target, and only the tag differs
+  Scenario: A packet is forwarded unchanged except for its tag
+    When a packet with known fields is forwarded to target number 0x7f3a91c2
+    Then an eight-byte target number precedes the packet, and only the tag differs
 
-  Scenario: A reset goes from the route's address to the client
+  Scenario: A reset is addressed from the route to the client
     When a flow is refused at acknowledgement 77
-    Then the reset has number 77, no data, no sum and only its own flag
+    Then the reset has sequence number 77, no data, no checksum and only the reset flag
 
-  Scenario Outline: Whatever arrives, nothing but a PacketError comes of it
-    When <count> random datagrams are read as packets
-    Then each became a segment or a PacketError
+  Scenario Outline: Arbitrary datagrams raise nothing but PacketError
+    When <count> random datagrams are parsed as packets
+    Then each yields a segment or a PacketError
 
     Examples:
       | count |
       | 2000  |
 
-  Scenario Outline: A target's entry is read, or refused by field
+  Scenario Outline: A target entry is read, or refused with the invalid field
     When the entry of target <name> has <change>
     Then it is <outcome>
 
@@ -52,7 +53,7 @@
       | i-1        | state = draining       | read as draining               |
       | i-1        | surprise = 3           | read with number 1             |
 
-  Scenario Outline: A configuration is read, or refused by field
+  Scenario Outline: A configuration is read, or refused with the invalid field
     When the configuration has <change>
     Then it is <outcome>
 
@@ -70,9 +71,9 @@
       | no backends                       | read without backends, with 2 routes in version 7 |
       | surprise = 3                      | read with 2 routes in version 7        |
 
-  Scenario Outline: A route that can't be read is left out, and hides no other
+  Scenario Outline: An invalid route is left out, and the other routes are read
     When the configuration has <change>
-    Then route <index> is left out for <field>, the other one holds
+    Then route <index> is left out for <field>, and the other one is read
 
     Examples:
       | change                            | index | field             |
@@ -84,9 +85,9 @@
       | routes.1.weighted_backends.0.weight = much | 1 | weighted_backends[0].weight |
       | routes.1.type = 5                 | 1     | type              |
 
-  Scenario Outline: What the requests of a route allow
+  Scenario Outline: The type of a route sets its request kind
     When the configuration has <change>
-    Then its first route is served as <kind>, and <count> problems are told
+    Then its first route is served as <kind>, and <count> problems are reported
 
     Examples:
       | change                         | kind         | count |
@@ -95,12 +96,12 @@
       | routes.0.type = upload         | upload       | 0     |
       | routes.0.type = strange        | at_most_once | 1     |
 
-  Scenario: Only the one configuration of that name is in force
+  Scenario: A configuration of another name is refused
     When a configuration of another name is read
     Then it is refused for name
 
-  Scenario Outline: A member of a later version tells kinds that are not known
-    When a member hands over a route of the kind <kind>
+  Scenario Outline: An unknown route kind from a later version is at_most_once
+    When a member sends a route of the kind <kind>
     Then it is served as <served>
 
     Examples:
@@ -108,9 +109,9 @@
       | upload     | upload       |
       | strange    | at_most_once |
 
-  Scenario Outline: One bad item of a list hides no other
-    When a list holds a good entry and <item>
-    Then the good entry is read, and <left_out> is left out
+  Scenario Outline: An invalid item of a list does not affect the others
+    When a list holds a valid entry and <item>
+    Then the valid entry is read, and <left_out> is left out
 
     Examples:
       | item                     | left_out          |
@@ -126,9 +127,9 @@
       | an entry nested deeply   | servers/i-bad     |
       | an entry with a line break | servers/i-bad   |
 
-  Scenario Outline: One bad change hides no other
-    When a watch tells of a good entry and <item>
-    Then the good entry is read, and <left_out> is left out
+  Scenario Outline: An invalid change does not affect the others
+    When a watch returns a valid entry and <item>
+    Then the valid entry is read, and <left_out> is left out
 
     Examples:
       | item                     | left_out          |
@@ -139,42 +140,42 @@
       | an entry of broken JSON  | servers/i-bad     |
       | an entry nested deeply   | servers/i-bad     |
 
-  Scenario: An entry that is rewritten badly counts as if it were not there
-    When a watch tells of a good entry and an entry without fields
-    Then the target of the bad entry is told as removed
+  Scenario: An entry that becomes invalid counts as removed
+    When a watch returns a valid entry and an entry without fields
+    Then the target of the invalid entry is reported as removed
 
-  Scenario: A page without any name does not end a list
-    When a page of a list that goes on names nothing
-    Then the list is refused, and nothing seems gone
+  Scenario: A list is refused if a page that is not the last has no names
+    When a page of a list that continues has no names
+    Then the list is refused, and no object counts as removed
 
-  Scenario: What is left out is told once for each revision, and no longer than it holds
+  Scenario: A rejected object is logged once per revision and exported until it is valid
     When an object is refused 3 times at revision 4 and 2 times at revision 5
-    Then 2 lines tell of it, and the metrics name object and field
-    When the object is read well again
-    Then the metrics name it no more
+    Then 2 log lines report it, and the metrics name object and field
+    When the object is valid again
+    Then the metrics no longer name it
 
-  Scenario Outline: Whatever one writer leaves in an answer, the others' entries are read
-    When <count> lists hold good entries among random pieces
-    Then each good entry was read
+  Scenario Outline: Valid entries are read whatever else an answer holds
+    When <count> lists hold valid entries among random items
+    Then each valid entry is read
 
     Examples:
       | count |
       | 300   |
 
-  Scenario Outline: What a configuration says of cold targets and regions
+  Scenario Outline: A configuration sets slow start and allowed regions
     When the configuration has <change>
-    Then guide bears <rate> requests a second for <lasts> ms while cold, and the first route allows <regions>
+    Then guide gets <rate> requests per second for <duration> ms in slow start, and the first route allows <regions>
 
     Examples:
-      | change                                 | rate | lasts | regions    |
-      | nothing else                           | any  | 0     | any        |
-      | backends.0.warmup_per_s = 0            | any  | 0     | any        |
-      | backends.0.warmup_per_s = 10           | 10   | 2000  | any        |
-      | routes.0.allowed_regions = [east,west] | any  | 0     | east, west |
+      | change                                 | rate | duration | regions    |
+      | nothing else                           | any  | 0        | any        |
+      | backends.0.warmup_per_s = 0            | any  | 0        | any        |
+      | backends.0.warmup_per_s = 10           | 10   | 2000     | any        |
+      | routes.0.allowed_regions = [east,west] | any  | 0        | east, west |
 
-  Scenario Outline: Members tell each other what a configuration says
+  Scenario Outline: A configuration is unchanged in a snapshot
     When the configuration has <change>
-    Then a member that pulls it holds the same
+    Then a member that pulls it holds the same routes
 
     Examples:
       | change                                 |
@@ -182,7 +183,7 @@
       | backends.0.warmup_per_s = 10           |
       | routes.0.allowed_regions = [east,west] |
 
-  Scenario Outline: An evacuation says it all by its name
+  Scenario Outline: An evacuation is valid whatever its content
     When an evacuation of domain b holds <content>
     Then domain b is evacuated
 
@@ -192,9 +193,9 @@
       | nothing |
       | 5       |
 
-  Scenario Outline: A list is as old as its oldest page
-    When a list comes in pages of the revisions <revisions>
-    Then it holds what is in all of them, as of revision <revision>
+  Scenario Outline: A list has the revision of its oldest page
+    When a list is read in pages of the revisions <revisions>
+    Then it holds the objects of all pages, as of revision <revision>
 
     Examples:
       | revisions | revision |
@@ -202,15 +203,15 @@
       | 7, 9      | 7        |
       | 9, 7, 8   | 7        |
 
-  Scenario Outline: Whatever the store holds, it is read or refused
+  Scenario Outline: Arbitrary documents are read or refused
     When <count> random documents are read as entries, routes and answers
-    Then each was read or refused with an error of the project
+    Then each is read, or refused with an error of the project
 
     Examples:
       | count |
       | 300   |
 
-  Scenario Outline: Settings that are wrong are refused with file, key and value
+  Scenario Outline: Invalid settings are refused with file, key and value
     When the settings have <change>
     Then the settings are <outcome>
 
--- a/tests/features/platform/plain_classes.feature
+++ b/tests/features/platform/plain_classes.feature
@@ -1,35 +1,35 @@
-Feature: Classes are written out when the program is built
-  What attrs makes at each import takes time at each start.
+Feature: Conversion of attrs classes to plain classes
+  The build replaces attrs, whose work at import time delays each start.
 
-  Scenario Outline: A class is written out as attrs makes it
+  Scenario Outline: A converted class behaves as the attrs class
     Given the class <text>
-    When it is written out
-    Then both forms agree on <what>
+    When it is converted
+    Then both classes agree on <aspect>
 
     Examples:
-      | text                   | what        |
-      | with defaults          | construction |
-      | with factories         | construction |
-      | with a private field   | construction |
-      | with defaults          | equality    |
-      | that is frozen         | equality    |
-      | that is frozen         | hashes      |
-      | with defaults          | having no hash |
-      | that is a message      | equality    |
-      | that is a message      | hashes      |
-      | that is a message      | representation |
-      | with defaults          | representation |
-      | without equality       | equality    |
-      | with defaults          | matching    |
-      | with a method          | methods     |
+      | text                 | aspect         |
+      | with defaults        | construction   |
+      | with factories       | construction   |
+      | with a private field | construction   |
+      | with defaults        | equality       |
+      | that is frozen       | equality       |
+      | that is frozen       | hashes         |
+      | with defaults        | having no hash |
+      | that is a message    | equality       |
+      | that is a message    | hashes         |
+      | that is a message    | representation |
+      | with defaults        | representation |
+      | without equality     | equality       |
+      | with defaults        | matching       |
+      | with a method        | methods        |
 
-  Scenario Outline: What can't be written out is an error
-    When the source <text> is written out
+  Scenario Outline: Unsupported source is an error
+    When the source <text> is converted
     Then the build fails and names <name>
 
     Examples:
-      | text                                      | name   |
-      | a field that is declared by field()       | port   |
-      | a function of attrs                       | evolve |
-      | a class with other options                | Target |
-      | a class that runs something at its start  | Target |
+      | text                                            | name   |
+      | with a field that is declared by field()        | port   |
+      | with a function of attrs                        | evolve |
+      | with a class with other options                 | Target |
+      | with a class with an __attrs_post_init__ method | Target |
--- a/tests/features/platform/process.feature
+++ b/tests/features/platform/process.feature
@@ -1,59 +1,60 @@
 @processes
-Feature: The program serves on loopback, against stand-ins of the platform
-  Real processes; the stand-ins speak the platform's protocol.
+Feature: Balancer processes on loopback
+  Real balancer processes run against stand-ins that implement the platform's
+  protocol.
 
   Background:
     Given a store with 3 targets of guide in domain a
-    And the configuration version 5 leads 127.0.1.1:8443 to guide
+    And configuration version 5 routes 127.0.1.1:8443 to guide
 
-  Scenario: A flow is served end to end, and stays at its target
+  Scenario: All segments of a flow reach the same target
     Given a balancer in domain a that is ready
     When a client opens a flow to 127.0.1.1:8443 and sends 5 segments
-    Then one target got all of them, in the form that the client wrote
+    Then one target receives all of them, unchanged
 
-  Scenario: A balancer without the store is not ready and says why
-    Given the store answers nothing
+  Scenario: A balancer without the store is not ready and reports the reason
+    Given the store does not answer
     And a balancer in domain a that is not ready
-    Then it says "no configuration yet"
+    Then its readiness reason is "no configuration yet"
 
-  Scenario: A balancer without the store learns all from a peer
+  Scenario: A balancer without the store gets its state from a peer
     Given a balancer in domain a that is ready
-    And the store answers nothing
+    And the store does not answer
     And a second balancer in domain a that is ready
     When a client opens a flow to 127.0.1.1:8443 and sends 3 segments
-    Then one target got all of them, in the form that the client wrote
+    Then one target receives all of them, unchanged
 
-  Scenario: One of three balancers reads the store for the others
+  Scenario: One of three balancers reads the store and forwards changes
     Given 3 balancers in domain a that are ready
-    When 6000 ms go by
-    And the configuration version 9 leads 127.0.1.2:8443 to guide
+    When the test waits 6000 ms
+    And configuration version 9 routes 127.0.1.2:8443 to guide
     Then all balancers hold version 9 within 2500 ms
-    And one balancer alone reads the store
+    And exactly one balancer reads the store
 
-  Scenario: An evacuation is in force on all balancers at once, and so is its end
+  Scenario: An evacuation and its end reach all balancers within a second
     Given 3 balancers in domain a that are ready
-    When 6000 ms go by
+    When the test waits 6000 ms
     And an operator evacuates domain a
-    Then all balancers hold a for evacuated within 1000 ms
-    And a client that opens a flow to 127.0.1.1:8443 is refused at once
-    When an operator takes domain a back
-    Then all balancers hold a for returned within 1000 ms
+    Then all balancers log "evacuated" for domain a within 1000 ms
+    And a client that opens a flow to 127.0.1.1:8443 is refused immediately
+    When an operator ends the evacuation of domain a
+    Then all balancers log "returned" for domain a within 1000 ms
     When a client opens a flow to 127.0.1.1:8443 and sends 3 segments
-    Then one target got all of them, in the form that the client wrote
+    Then one target receives all of them, unchanged
 
-  Scenario: A balancer that starts meanwhile knows of an evacuation
+  Scenario: A balancer that starts during an evacuation applies it
     Given a balancer in domain a that is ready
-    When 3000 ms go by
+    When the test waits 3000 ms
     And an operator evacuates domain a
-    Then all balancers hold a for evacuated within 1000 ms
-    Given the store answers nothing
+    Then all balancers log "evacuated" for domain a within 1000 ms
+    Given the store does not answer
     And a second balancer in domain a that is ready
-    Then a client that opens a flow to 127.0.1.1:8443 is refused at once
+    Then a client that opens a flow to 127.0.1.1:8443 is refused immediately
 
-  Scenario Outline: The store misbehaves, and a change still arrives
+  Scenario Outline: A change arrives after the store was faulty
     Given a balancer in domain a that is ready
     When the store <trouble> for 1500 ms
-    And the configuration version 9 leads 127.0.1.2:8443 to guide
+    And configuration version 9 routes 127.0.1.2:8443 to guide
     Then all balancers hold version 9 within 6000 ms
 
     Examples:
@@ -65,45 +66,45 @@
       | forgets its history    |
       | sends broken documents |
 
-  Scenario: Open connections to the store fall silent, and a change still arrives
+  Scenario: A change arrives although open connections to the store are silent
     Given 3 balancers in domain a that are ready
-    When 3000 ms go by
-    And the open connections to the store fall silent
-    And the configuration version 9 leads 127.0.1.2:8443 to guide
+    When the test waits 3000 ms
+    And the open connections to the store become silent
+    And configuration version 9 routes 127.0.1.2:8443 to guide
     Then all balancers hold version 9 within 4500 ms
 
   Scenario: A planned stop forwards until the fabric has moved on
     Given a balancer in domain a that is ready
-    When it gets SIGTERM while the fabric asks for readiness twice a second
-    Then it answered 503 twice or more, and ended with status 0 within 6000 ms
+    When it gets SIGTERM while the fabric probes readiness twice a second
+    Then it answers 503 at least twice, and exits with status 0 within 6000 ms
 
-  Scenario: A balancer that is told to stop while it starts stops as planned
-    When a balancer in domain a gets SIGTERM in its first moments
-    Then it said that it forwards on, and ended with status 0 within 6000 ms
+  Scenario: A balancer that gets SIGTERM during startup stops as planned
+    When a balancer in domain a gets SIGTERM as soon as it has started
+    Then it logs that it has left, and exits with status 0 within 6000 ms
 
   Scenario: The last balancer of a domain stops as planned
     Given a balancer in domain a that is ready
     And a second balancer in domain a that is ready
-    When both know each other
-    And the first one is killed, and the second one takes it for dead
-    And it gets SIGTERM while the fabric asks for readiness twice a second
-    Then it answered 503 twice or more, and ended with status 0 within 6000 ms
+    When both have joined the domain
+    And the first one is killed, and the second one marks it dead
+    And it gets SIGTERM while the fabric probes readiness twice a second
+    Then it answers 503 at least twice, and exits with status 0 within 6000 ms
 
-  Scenario Outline: Settings that change while it runs
+  Scenario Outline: SIGHUP reloads valid settings and refuses invalid ones
     Given a balancer in domain a that is ready
     When its settings file becomes <kind> and it gets SIGHUP
-    Then it says <event>, and still serves
+    Then it logs <event>, and is still ready
 
     Examples:
       | kind   | event            |
       | good   | "reload"         |
       | broken | "reload_refused" |
 
-  Scenario: SIGHUP during a start does no harm
-    When a balancer in domain a gets SIGHUP from its first moment on
+  Scenario: SIGHUP during startup does not end a balancer
+    When a balancer in domain a gets SIGHUP repeatedly during startup
     Then it becomes ready
 
-  Scenario: Metrics tell what was placed
+  Scenario: Metrics count placed flows
     Given a balancer in domain a that is ready
     When a client opens a flow to 127.0.1.1:8443 and sends 3 segments
     Then its metrics show at least 1 placed flow and a version of 5
--- a/tests/features/platform/soak.feature
+++ b/tests/features/platform/soak.feature
@@ -1,14 +1,14 @@
 @processes
-Feature: Real balancers keep their promises under faults from outside
-  Two balancers in each of three failure domains, with clients, targets,
-  routers and a store in front of, behind and beside them.
+Feature: Balancer processes keep their promises under injected faults
+  Balancers run in three failure domains with clients, targets, routers and a
+  store.
 
   Scenario Outline: No promise is broken as <faults>
     Given the faults <faults>
-    When they are played on 2 balancers in each domain
+    When they are injected with 2 balancers in each domain
     Then no promise is broken
-    And at least <served> of all requests were served
-    And at most <slow> of them took long
+    And at least <served> of all requests are served
+    And at most <slow> of them are slow
 
     Examples: planned work
       | faults                                 | served | slow |
@@ -18,16 +18,16 @@
       | settings change, good and bad          | 0.99   | 0.01 |
 
     Examples: failures
-      | faults                                 | served | slow |
-      | balancers are killed and paused        | 0.9    | 0.1  |
-      | a target is cut off, and another       | 0.9    | 0.1  |
-      | targets crash and addresses are reused | 0.9    | 0.1  |
-      | the store fails in every way           | 0.95   | 0.05 |
-      | the store forgets what nobody could read | 0.95 | 0.05 |
-      | a target leaves as a balancer starts without the store | 0.95 | 0.1 |
+      | faults                                                 | served | slow |
+      | balancers are killed and paused                        | 0.9    | 0.1  |
+      | links to several targets fail                          | 0.9    | 0.1  |
+      | targets crash and addresses are reused                 | 0.9    | 0.1  |
+      | the store has faults of every kind                     | 0.95   | 0.05 |
+      | the store drops history that no balancer has read      | 0.95   | 0.05 |
+      | a target leaves as a balancer starts without the store | 0.95   | 0.1  |
 
-  Scenario Outline: Seeds that failed once hold now
-    When seed <seed> is played on <balancers> balancers in each domain
+  Scenario Outline: Seeds of past failures break no promise
+    When the faults of seed <seed> are injected with <balancers> balancers in each domain
     Then no promise is broken
 
     Examples:
@@ -36,7 +36,7 @@
       | 1023 | 4         |
 
   Scenario Outline: Random faults break no promise
-    When seed <seed> is played on 2 balancers in each domain
+    When the faults of seed <seed> are injected with 2 balancers in each domain
     Then no promise is broken
 
     Examples:
--- a/tests/features/platform/start.feature
+++ b/tests/features/platform/start.feature
@@ -1,24 +1,24 @@
-Feature: What a balancer imports before it serves
-  Each import costs a killed balancer's clients time; see docs/PLATFORM.md.
+Feature: Imports of a balancer before it forwards packets
+  Each import delays the restart of a killed balancer; see docs/PLATFORM.md.
 
-  Scenario: Packets are served before the event loop is imported
-    When the modules until the first packet are listed
+  Scenario: Packets are forwarded before the event loop is imported
+    When the modules imported before the first packet are listed
     Then none of them is aiohttp, asyncio, cattrs, cbor2, concurrent, logging, reactivex, socket, ssl, statsd, tomllib, urllib, websockets or argparse
     And at most 45 of them are liftmount's
 
-  Scenario: Only what a balancer needs is imported at a start
-    When the modules of a start are listed
+  Scenario: Startup imports only what a balancer needs
+    When the modules imported at startup are listed
     Then none of them is aiohttp, cattrs, cbor2, reactivex, ssl, statsd, tomllib, websockets or argparse
     And at most 56 of them are liftmount's
 
-  Scenario: Packets are served between imports
-    Given a module whose import takes turns
-    When it is imported in such a context
-    Then a turn was taken before it and before each of the 2 modules that it imports
+  Scenario: Packets are forwarded between imports
+    Given a module that imports 2 others
+    When it is imported within the import hook
+    Then the callback was called before it and before each of the 2 modules that it imports
 
-  Scenario: The port of the metrics is the one that the deploy file names
+  Scenario: The deploy file names the port of the metrics
     Then deploy/system.toml names the metrics port of the settings
 
-  Scenario: Nothing outside the adapter knows it
+  Scenario: Nothing outside the adapter depends on it
     Then no module outside liftmount/platform imports it
     And no module outside liftmount/platform names a field of the platform
--- a/tests/features/platform/startup.feature
+++ b/tests/features/platform/startup.feature
@@ -1,48 +1,48 @@
 @processes
-Feature: Packets are served before there is an event loop
-  Against the stand-in of the store, in turns that never wait.
+Feature: Startup of a balancer before its event loop runs
+  Initial lists are read and packets forwarded without blocking.
 
-  Scenario Outline: The first lists are taken over, page by page
+  Scenario Outline: The initial lists are read page by page
     Given a store that holds <targets> targets and a configuration
-    When a balancer takes turns until it knows routes and targets
-    Then it knows <targets> targets, as of the store's revision
+    When a balancer iterates until it has routes and targets
+    Then it has <targets> targets, as of the store's revision
 
     Examples:
       | targets |
       | 1       |
       | 501     |
 
-  Scenario: What arrived before the lists is served after them
+  Scenario: A packet that arrived before the lists is forwarded after them
     Given a store that holds 1 targets and a configuration
-    And an opening that waits in the balancer's socket
-    When a balancer takes turns until it knows routes and targets
-    Then the target gets the opening within further turns
+    And an opening is queued in the balancer's socket
+    When a balancer iterates until it has routes and targets
+    Then the target receives the opening in a later iteration
 
-  Scenario Outline: A store that fails leaves the lists to the feeds
+  Scenario Outline: No list is read and no iteration blocks while the store fails
     Given a store that holds 1 targets and a configuration
-    When the store <trouble>, and a balancer takes turns for 300 ms
-    Then it knows nothing, no turn took long, and it <said>
+    When a balancer iterates for 300 ms while the store <trouble>
+    Then it has no lists, no iteration blocked, and it <logged>
 
     Examples:
-      | trouble                | said                   |
-      | answers 503            | says that a list failed |
-      | resets connections     | says that a list failed |
-      | sends broken documents | says that a list failed |
-      | says nothing           | says nothing           |
+      | trouble                | logged             |
+      | answers 503            | logs a failed list |
+      | resets connections     | logs a failed list |
+      | sends broken documents | logs a failed list |
+      | says nothing           | logs no failure    |
 
-  Scenario Outline: The socket that was bound before all imports is used
+  Scenario Outline: The socket that the launcher bound is used if its address is right
     Given a store that holds 1 targets and a configuration
-    And a socket that the launcher has bound to <address>
+    And a socket that the launcher bound to <address>
     When a balancer starts with that socket
-    Then it listens at the address of its settings, <how>
+    Then it is bound to the address of its settings, <how>
 
     Examples:
-      | address        | how             |
-      | its address    | by that socket  |
-      | another one    | by a new socket |
-      | no good address | by a new socket |
+      | address            | how               |
+      | its address        | with that socket  |
+      | another address    | with a new socket |
+      | an invalid address | with a new socket |
 
-  Scenario: An address for readiness that is taken does not end a start
+  Scenario: A balancer starts although its readiness address is in use
     Given a store that holds 1 targets and a configuration
-    When the address for readiness is taken
-    Then a balancer starts without it and says so
+    When the readiness address is in use
+    Then a balancer starts without readiness and logs the cause
--- a/tests/features/platform/transfers.feature
+++ b/tests/features/platform/transfers.feature
@@ -1,73 +1,74 @@
 @processes
-Feature: What takes long to arrive is received, not asked for anew
-  A configuration grows as operators like; links stay as they are.
+Feature: Slow transfers complete
+  A large configuration over a slow link is received whole, without timeouts
+  that repeat the transfer and without false target failures.
 
-  Scenario Outline: A call ends for want of progress, not for its whole time
-    Given a store that holds 1700 routes and sends 110000 bytes a second
-    When <share> of a list of them arrives
+  Scenario Outline: A call times out for lack of progress, not for its duration
+    Given a store that holds 1700 routes and sends 110000 bytes per second
+    When <share> of the list of routes arrives
     Then the list is <outcome> after <from_ms> to <until_ms> ms
 
     Examples:
-      | share | outcome  | from_ms | until_ms |
-      | all   | read     | 1500    | 8000     |
-      | half  | given up | 1000    | 6000     |
-      | none  | given up | 900     | 3000     |
+      | share | outcome   | from_ms | until_ms |
+      | all   | read      | 1500    | 8000     |
+      | half  | timed out | 1000    | 6000     |
+      | none  | timed out | 900     | 3000     |
 
-  Scenario: A list is as old as the beginning of its answer
-    Given a store that holds 1700 routes and sends 110000 bytes a second
-    When all of a list of them arrives
-    Then its age is what its transfer took, and so old is what is known of routes
+  Scenario: The age of a list counts from the beginning of its answer
+    Given a store that holds 1700 routes and sends 110000 bytes per second
+    When all of the list of routes arrives
+    Then its age is the duration of its transfer, and routes are confirmed as of its start
 
-  Scenario: A balancer starts although its routes take longer than a call may wait
+  Scenario: A balancer starts although its routes take longer than a call's wait
     Given a store with 3 targets of guide in domain a
     And a configuration of 1700 routes
-    And the store sends 110000 bytes a second
+    And the store sends 110000 bytes per second
     When a balancer in domain a starts
     Then it becomes ready
-    And it asked for each list once, and never lost the store
+    And it requested each list once, and never lost the store
 
-  Scenario: What came before the event loop is kept
-    Given a store that holds 1700 routes and sends 110000 bytes a second
-    When a balancer takes turns until its list of routes has begun to arrive
-    And its lists are handed over to the event loop
-    Then the loop gets all 1700 routes, and no list was asked for twice
+  Scenario: The event loop continues a list that the startup loop began
+    Given a store that holds 1700 routes and sends 110000 bytes per second
+    When a balancer iterates until its list of routes has begun to arrive
+    And its lists are passed to the event loop
+    Then the event loop receives all 1700 routes, and no list was requested twice
 
-  Scenario: A list that stalls after it was handed over is asked for anew
-    Given a store that holds 1700 routes and sends 110000 bytes a second
+  Scenario: A list that stalls in the event loop is requested again
+    Given a store that holds 1700 routes and sends 110000 bytes per second
     And a third of each answer arrives
-    When a balancer takes turns until its list of routes has begun to arrive
-    And its lists are handed over to the event loop
-    And answers arrive whole once the store is said to be lost
-    Then the loop gets all 1700 routes
+    When a balancer iterates until its list of routes has begun to arrive
+    And its lists are passed to the event loop
+    And answers arrive whole after the store is reported lost
+    Then the event loop receives all 1700 routes
 
-  Scenario: A change that takes longer than a watch may wait is taken over
+  Scenario: A change that takes longer than a watch's wait is applied
     Given a store with 3 targets of guide in domain a
-    And the configuration version 5 leads 127.0.1.1:8443 to guide
+    And configuration version 5 routes 127.0.1.1:8443 to guide
     And a balancer in domain a that is ready
-    When 3000 ms go by
-    And the store sends 110000 bytes a second
+    When the test waits 3000 ms
+    And the store sends 110000 bytes per second
     And a configuration of 1700 routes
     Then all balancers hold version 9 within 9000 ms
 
-  Scenario Outline: Who reads the store when another one begins to, or tells
-    Given a feed whose first list is under way
+  Scenario Outline: A feed's first list when the feed is paused or a peer provides the list
+    Given a feed whose first list is in progress
     When <event>
-    Then the list <goes_on>, and its next call is <call>
+    Then the list <outcome>, and its next call is <call>
 
     Examples:
-      | event                                     | goes_on   | call    |
-      | it is told to rest                        | goes on   | none    |
-      | it is told to rest, and a peer tells all  | is ended  | none    |
-      | a peer tells all                          | is ended  | a watch |
-      | it is told to rest, and to read again     | goes on   | a watch |
+      | event                                      | outcome      | call    |
+      | it is paused                               | continues    | none    |
+      | it is paused, and a peer provides the list | is cancelled | none    |
+      | a peer provides the list                   | is cancelled | a watch |
+      | it is paused and resumed                   | continues    | a watch |
 
-  Scenario Outline: Silence of a target says nothing while the own link is busy
-    Given a balancer that knows one target, and has just <transfer>
+  Scenario Outline: Failed probes are ignored while the balancer's own link is busy
+    Given a balancer with one target that has just <transfer>
     When four probes of the target, sent <after_ms> ms later, are <result>
-    Then by its probes the target is <belief>
+    Then by its probes the target is <health>
 
     Examples:
-      | transfer                  | after_ms | result   | belief |
+      | transfer                  | after_ms | result   | health |
       | transferred nothing       | 0        | silent   | dead   |
       | transferred 4000 bytes    | 0        | silent   | dead   |
       | transferred 30000 bytes   | 0        | silent   | alive  |
--- a/tests/features/product/measurements.feature
+++ b/tests/features/product/measurements.feature
@@ -1,13 +1,13 @@
-Feature: What the measurements print can be relied on
+Feature: Evaluation of measurements
 
-  Scenario: Each measurement can be loaded
+  Scenario: Each measurement can be imported
     Then each measurement that ./dev measure names has a main function
 
-  Scenario: Each mechanism that the ablation switches off is still found
-    Then each mechanism stands once in its file, and switching it off changes it
+  Scenario: Each mechanism that the ablation disables exists
+    Then each mechanism occurs once in its file, and disabling it changes the file
 
-  Scenario Outline: A loss is put down to what struck last, unplanned things first
-    When a window from 10 s on loses worth while this goes on: <events>
+  Scenario Outline: A loss is attributed to the latest event, unplanned ones first
+    When a window from 10 s has losses during these events: <events>
     Then its cause is <cause>
 
     Examples:
@@ -20,8 +20,8 @@
       | crash 5 to 15, planned roll 9 to 12 | crash      |
       | planned roll 9 to 12             | roll          |
 
-  Scenario: Calls to the store are told by why they were made
-    Given these lines of logs of calls
+  Scenario: Calls to the store are counted by reason
+    Given these log lines of calls
       | from | at_ms | event   | more                                            |
       | one  | 1000  | start   |                                                 |
       | two  | 1000  | start   |                                                 |
@@ -42,8 +42,8 @@
       | root           | watch       | changed    | 1     |
       | old_beats      | brief watch | callfailed | 1     |
 
-  Scenario: Silence of a target is told from logs of several balancers
-    Given these lines of logs
+  Scenario: Unresponsive targets are found in the logs of several balancers
+    Given these log lines
       | at_ms | event           | target | more            |
       | 1000  | doubted_by_flow | one    | sign=data       |
       | 1180  | dead            | one    |                 |
@@ -53,5 +53,5 @@
       | 1505  | ended           | two    | part=probes result=answered |
       | 9000  | doubted_by_flow | one    | sign=data       |
       | 9200  | dead            | one    |                 |
-    Then the silences are one after 180 and 400 ms with 1 resets, and one after 200 ms with 0 resets
-    And 1 doubt was dispelled
+    Then targets are unresponsive until 180 and 400 ms with 1 resets, and until 200 ms with 0 resets
+    And 1 suspected stall was cleared
--- a/tests/features/product/settings.feature
+++ b/tests/features/product/settings.feature
@@ -1,8 +1,8 @@
-Feature: Settings and documents are checked, and every error is named
-  Bad input gets a clear error with file, key and value; nothing is lost.
+Feature: Validation of settings and documents
+  Invalid input is refused with errors that name file, key and value.
 
-  Scenario Outline: Settings that are wrong are refused with all errors
-    Given good settings
+  Scenario Outline: Invalid settings are refused with file, key and value
+    Given valid settings
     When "<key>" is set to <value>
     Then the daemon exits with status 2
     And the error names the file, "<key>" and <shown>
@@ -21,14 +21,14 @@
       | membership.unknown_key  | 5                   | unknown_key |
 
   Scenario: All errors of a file are reported at once
-    Given good settings
+    Given valid settings
     When "instance.name" is set to "Not A Name"
     And "limits.max_flows" is set to 0
     And "log.level" is set to "loud"
     Then the daemon exits with status 2
     And the error has 3 lines
 
-  Scenario Outline: A file that cannot be read is named
+  Scenario Outline: The error names a file that cannot be read
     Given a settings file that <state>
     Then the daemon exits with status 2
     And the error names the file
@@ -39,9 +39,9 @@
       | is not TOML |
       | is not text |
 
-  Scenario Outline: Teams that are wrong are refused
-    Given a good team
-    When the team's "<key>" becomes <value>
+  Scenario Outline: Invalid teams are refused
+    Given a valid team
+    When the team's "<key>" is set to <value>
     Then the team is refused at "<named>" with "<message>"
 
     Examples:
@@ -60,10 +60,10 @@
   Scenario: The settings reference lists every key
     Then docs/operators/settings.md lists every key of the settings
 
-  Scenario: The page on counters lists every reason
+  Scenario: The counters page lists every reason
     Then docs/operators/counters.md lists every reason
 
-  Scenario: Every refusal and retry reaches statsd under its name
+  Scenario: Every refusal and retry is sent to statsd under its name
     Given a statsd socket
-    When each reason is counted once and 3 packets are passed on
-    Then the socket got a counter for each reason and "liftmount.passed:3|c"
+    When each reason is counted once and 3 packets are forwarded
+    Then the socket receives a counter for each reason and "liftmount.passed:3|c"
--- a/tests/features/product/tool.feature
+++ b/tests/features/product/tool.feature
@@ -1,8 +1,8 @@
 @processes
-Feature: The operators' tool
-  Every command of the operators' pages, against a running deployment.
+Feature: Operators' command-line tool
+  The commands of the operators' pages run against a deployment of processes.
 
-  Scenario: All commands
+  Scenario: Each command exits with its status and prints its result
     Given a "small" deployment and its documents
     When the operator runs "template list"
     Then the tool exits with status 0 and prints "firm"
@@ -36,14 +36,14 @@
     Then the tool exits with status 1 and prints "there is no target"
     When the operator runs "evacuate b"
     Then the tool exits with status 0 and prints "evacuated by version"
-    And the owner of guidance of firm-a soon holds b for evacuated
+    And the owner of guidance of firm-a eventually shows b as evacuated
     When the operator runs "evacuate b"
     Then the tool exits with status 0 and prints "already"
     When the operator runs "--output json status"
-    Then the tool prints since when b is evacuated, and by whom
+    Then the tool prints the time of the evacuation of b and its writer
     When the operator runs "evacuate --return b"
     Then the tool exits with status 0 and prints "taken back"
-    And the owner of guidance of firm-a soon holds none for evacuated
+    And the owner of guidance of firm-a eventually shows none as evacuated
     When the operator runs "evacuate --return b"
     Then the tool exits with status 0 and prints "not evacuated"
     When the operator runs "evacuate nowhere"
@@ -59,23 +59,23 @@
     When the operator runs "version"
     Then the tool exits with status 0 and prints "LIFTMOUNT"
 
-  Scenario: A team may not take what belongs to another
+  Scenario: A team cannot use the addresses of another
     Given a "small" deployment and its documents
-    When a team asks for the addresses of firm-a
+    When another team with the addresses of firm-a is applied
     Then the tool exits with status 2 and prints "is the address of firm-a"
 
-  Scenario: The tool says so when the platform is out of reach
+  Scenario: The tool reports that the platform is out of reach
     Given a "small" deployment and its documents
-    When the platform goes down
+    When the platform becomes unavailable
     And the operator runs "status"
     Then the tool exits with status 4 and prints "platform out of reach"
 
-  Scenario: The status can be watched
+  Scenario: Watching the status prints each revision
     Given a "small" deployment and its documents
-    When the operator watches the status and firm-a is changed
-    Then the watch has shown two revisions
+    When the operator watches the status while firm-a is changed
+    Then the watch has printed two revisions
 
-  Scenario: Load endpoints of the stand-ins lag and lie when told to
+  Scenario: The load endpoint of a stand-in reports a configured value
     Given a "small" deployment and its documents
-    When the load endpoint of a target lies
-    Then it shows the lie
+    When the load endpoint of a target reports 42 for its load
+    Then it shows load 42 and health ok
--- a/tests/features/product/trace.feature
+++ b/tests/features/product/trace.feature
@@ -1,4 +1,4 @@
-Feature: From a client's address to what bears on its flows
+Feature: Tracing of a client in the logs
 
   Background:
     Given the logs
@@ -13,12 +13,12 @@
       | one | 9900  | flows     | reset     | 10.0.0.9:77  | i-1    |
       | one | 30000 | targets   | alive     |              | i-1    |
 
-  Scenario: The lines about its flows, their targets, and the balancers
+  Scenario: A trace holds the events of the client's flows, targets and balancers
     When the client 10.0.0.9:77 is traced
     Then the events are placed, not_ready, ended, dead, reset
     And the targets named are i-1
 
-  Scenario Outline: The command
+  Scenario Outline: The trace command exits with status and message
     When the operator traces <client> in <logs>
     Then it exits with status <status> and prints "<text>"
 
@@ -30,7 +30,7 @@
       | nowhere     | one         | 2      | CLIENT-IP:PORT      |
       | 10.0.0.9:77 | three       | 1      | No such file        |
 
-  Scenario: Lines that are no log lines are passed over
-    Given the log one also holds "Traceback", "{}" and "[1]"
+  Scenario: Lines that are not log lines are ignored
+    Given log one also holds "Traceback", "{}" and "[1]"
     When the client 10.0.0.9:78 is traced
     Then the targets named are i-2
--- a/tests/features/steps/adapter_steps.py
+++ b/tests/features/steps/adapter_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the adapter: heads, stored objects, settings."""
+"""Steps for the platform adapter: packets, stored objects, settings."""
 
 import copy
 import json
@@ -31,8 +31,8 @@
 from tests.features.steps.forwarding_steps import make_entry
 
 PAYLOAD = b'payload'
-# sequence, acknowledgement, length, address, port, client, port, tag, sum,
-# flags, padding
+# sequence, acknowledgement, length, address, port, client, port, tag,
+# checksum, flags, padding
 HEADER_VALUES = (
     0x11223344,
     0x55667788,
@@ -92,7 +92,7 @@
 }
 
 
-@when('a list comes in pages of the revisions {revisions}')
+@when('a list is read in pages of the revisions {revisions}')
 def list_in_pages(context, revisions):
     context.problems = []
     context.pages = documents.ListPages('servers', context.problems.append)
@@ -110,22 +110,22 @@
         assert after == ('' if is_last else context.names[number])
 
 
-@then('it holds what is in all of them, as of revision {revision:d}')
+@then('it holds the objects of all pages, as of revision {revision:d}')
 def list_as_of(context, revision):
     listing = context.pages.listing(len(context.names))
     assert listing.revision == revision, listing.revision
     assert [one.name for one in listing.items] == context.names
     assert listing.size_bytes == 100 * len(context.names), listing
-    # Its first page began to arrive at 0 ms.
+    # The first page began to arrive at 0 ms.
     assert listing.age_ms == len(context.names), listing.age_ms
 
 
-@when('a packet with known fields is read')
+@when('a packet with known fields is parsed')
 def read_packet(context):
     context.segment = packet_headers.read(PACKET_HEADER + PAYLOAD)
 
 
-@then('each field of the segment has its value')
+@then('each field of the segment has the expected value')
 def fields_of_segment(context):
     segment = context.segment
     assert segment.sequence == 0x11223344
@@ -137,8 +137,8 @@
     assert segment.opens and not segment.closes and not segment.resets
 
 
-@when('a packet with known fields is passed on to target number {number}')
-def pass_on(context, number):
+@when('a packet with known fields is forwarded to target number {number}')
+def forward_packet(context, number):
     context.number = int(number, 16)
     entry = make_entry('one', 'guide', number=context.number)
     segment = packet_headers.read(PACKET_HEADER + PAYLOAD)
@@ -146,7 +146,9 @@
     context.datagram = packet_headers.encode_forward(action)
 
 
-@then('eight bytes name the target, and only the tag differs')
+@then(
+    'an eight-byte target number precedes the packet, and only the tag differs'
+)
 def only_tag_differs(context):
     found = bytearray(context.datagram)
     assert found[:8] == context.number.to_bytes(8, 'big')
@@ -169,7 +171,8 @@
     )
 
 
-@then('the reset has number {number:d}, no data, no sum and only its own flag')
+@then('the reset has sequence number {number:d}, no data, no checksum and '
+      'only the reset flag')  # fmt: skip
 def reset_fields(context, number):
     to_client = (0xCB007109, 40001)
     from_address = (0xC6336401, 8443)
@@ -177,7 +180,7 @@
     assert context.reset == wanted, context.reset
 
 
-@when('{count:d} random datagrams are read as packets')
+@when('{count:d} random datagrams are parsed as packets')
 def random_datagrams(context, count):
     rng = random.Random(7)
     context.kinds = set()
@@ -189,13 +192,13 @@
             context.kinds.add('PacketError')
 
 
-@then('each became a segment or a PacketError')
+@then('each yields a segment or a PacketError')
 def segment_or_error(context):
     assert context.kinds == {'Segment', 'PacketError'}, context.kinds
 
 
 def change_document(document, change):
-    """Return a copy with a change such as ``a.0.b = value`` or ``no a``."""
+    """Return a copy changed by ``a.0.b = value``, ``no a`` or the like."""
     changed = copy.deepcopy(document)
     words = change.split(' ')
     if change == 'nothing else':
@@ -221,7 +224,7 @@
 
 
 def read_or_error(read, *arguments):
-    """Return what was read, or the error that refused it."""
+    """Return the result of ``read``, or the error that it raised."""
     try:
         return read(*arguments)
     except LiftmountError as error:
@@ -246,7 +249,7 @@
     )
 
 
-@then('route {index:d} is left out for {field}, the other one holds')
+@then('route {index:d} is left out for {field}, and the other one is read')
 def route_left_out(context, index, field):
     (found,) = context.problems
     assert found.field == f'routes[{index}].{field}', found
@@ -266,7 +269,9 @@
         assert limit_ms == objects.DEFAULT_IDLE_TIMEOUT_MS, context.result
 
 
-@then('its first route is served as {kind}, and {count:d} problems are told')
+@then(
+    'its first route is served as {kind}, and {count:d} problems are reported'
+)
 def route_kind(context, kind, count):
     assert len(context.result.routes) == 2, context.result
     first = next(iter(context.result.routes.values()))
@@ -295,20 +300,20 @@
     assert context.result.version == version, context.result
 
 
-@then('guide bears {rate} requests a second for {lasts:d} ms while cold, and '
-      'the first route allows {regions}')  # fmt: skip
-def slow_start_and_regions(context, rate, lasts, regions):
+@then('guide gets {rate} requests per second for {duration_ms:d} ms in slow '
+      'start, and the first route allows {regions}')  # fmt: skip
+def slow_start_and_regions(context, rate, duration_ms, regions):
     table = context.result
     wanted = {}
     if rate != 'any':
-        wanted = {'guide': WarmUp(float(rate), lasts)}
+        wanted = {'guide': WarmUp(float(rate), duration_ms)}
     assert table.warm_ups == wanted, table.warm_ups
     first = next(iter(table.routes.values()))
     allowed = set() if regions == 'any' else set(regions.split(', '))
     assert first.regions == allowed, first
 
 
-@then('a member that pulls it holds the same')
+@then('a member that pulls it holds the same routes')
 def decoded_table_is_equal(context):
     snapshot = Snapshot((), 0, context.result, 3)
     decoded = wire.decode_snapshot(wire.encode_snapshot(snapshot))
@@ -353,7 +358,7 @@
 )
 
 
-# Pages that are nearly right get further than any document does.
+# Almost valid pages reach code that arbitrary documents do not.
 OBJECTS = JSON | strategies.fixed_dictionaries(
     {'meta': JSON | strategies.fixed_dictionaries({'name': JSON})},
     optional={'spec': JSON},
@@ -393,9 +398,9 @@
     check()
 
 
-@then('each was read or refused with an error of the project')
+@then('each is read, or refused with an error of the project')
 def read_or_refused(context):
-    # Anything else that was raised has failed the step before.
+    # Any other exception fails the previous step.
     kinds = {type(one) for one in context.seen}
     assert StoredObjectError in kinds, kinds
     assert kinds & {Listing, Delta, tuple}, kinds
--- a/tests/features/steps/bundling_steps.py
+++ b/tests/features/steps/bundling_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the form that is deployed."""
+"""Steps for the deployed program and the conversion of classes."""
 
 import marshal
 import os
@@ -20,7 +20,7 @@
 from liftmount.platform.launcher import HEADER_BYTES
 from liftmount.platform.launcher import PROGRAM
 
-# Features on what a balancer on the platform decides.
+# Features of the decisions that a balancer on the platform makes.
 DECISIONS = (
     'store_cache',
     'forwarding',
@@ -67,16 +67,16 @@
     ),
 }
 UNSUPPORTED_SOURCES = {
-    'a field that is declared by field()': (
+    'with a field that is declared by field()': (
         'from attrs import define\n@define\nclass Target:\n'
         '    port: int = field(default=1)'
     ),
-    'a function of attrs': 'from attrs import evolve',
-    'a class with other options': (
+    'with a function of attrs': 'from attrs import evolve',
+    'with a class with other options': (
         'from attrs import define\n@define(kw_only=True)\nclass Target:\n'
         '    port: int'
     ),
-    'a class that runs something at its start': (
+    'with a class with an __attrs_post_init__ method': (
         'from attrs import define\n@define\nclass Target:\n    port: int\n'
         '    def __attrs_post_init__(self):\n        pass'
     ),
@@ -84,7 +84,7 @@
 
 
 def run_class(source):
-    """Return the class that a source defines."""
+    """Return the class ``Target`` that a source defines."""
     names = {'__name__': 'sample'}
     exec(source, names)
     return names['Target']
@@ -95,7 +95,7 @@
     context.source = PRELUDE + CLASSES[text]
 
 
-@when('it is written out')
+@when('it is converted')
 def convert_class(context):
     plain = convert_module(context.source, 'sample')
     assert 'attrs' not in plain, plain
@@ -164,13 +164,13 @@
 }
 
 
-@then('both forms agree on {what}')
-def forms_agree(context, what):
-    original, plain = map(OBSERVERS[what], context.forms)
+@then('both classes agree on {aspect}')
+def classes_agree(context, aspect):
+    original, plain = map(OBSERVERS[aspect], context.forms)
     assert original == plain, (original, plain)
 
 
-@when('the source {text} is written out')
+@when('the source {text} is converted')
 def convert_unsupported(context, text):
     context.error = None
     try:
@@ -185,20 +185,20 @@
     assert name in str(context.error), context.error
 
 
-@given('the program as it is deployed')
+@given('the deployed program')
 def deploy(context):
     target = context.directory / 'target'
     dependencies = target / DEPENDENCIES
     dependencies.mkdir(parents=True)
     for package in ('attr', 'attrs', 'cbor2', 'httptools'):
-        place = Path(attrs.__file__).parents[1] / package
-        (dependencies / package).symlink_to(place)
+        source = Path(attrs.__file__).parents[1] / package
+        (dependencies / package).symlink_to(source)
     build(target)
     context.target = target
 
 
 def run_prepared(context, code):
-    """Run code where the launcher would start the balancer."""
+    """Run code in place of the balancer, after the launcher's preparation."""
     launcher = context.target / PROGRAM / 'liftmount/platform/launcher.py'
     text = (
         "names = {'__name__': 'launcher'}\n"
@@ -225,7 +225,7 @@
 """
 
 
-@when('its modules until the first packet are listed')
+@when('its modules imported before the first packet are listed')
 def list_loaded(context):
     done = run_prepared(context, LIST_LOADERS)
     context.loaders = [line.split(' ') for line in done.stdout.splitlines()]
@@ -244,7 +244,7 @@
     assert len(own) > 30, own
 
 
-@then('the code until the first packet is at most {limit_kb:d} KB')
+@then('the code loaded before the first packet is at most {limit_kb:d} KB')
 def code_size(context, limit_kb):
     path = context.target / PROGRAM / ARCHIVE
     _version, index = marshal.loads(path.read_bytes()[:HEADER_BYTES])
@@ -259,7 +259,7 @@
     match state:
         case 'missing':
             path.unlink()
-        case 'cut off':
+        case 'truncated':
             path.write_bytes(path.read_bytes()[:100])
         case 'made by another Python':
             header = marshal.dumps(('2.7', {}))
@@ -267,15 +267,15 @@
     context.done = run_prepared(context, LIST_LOADERS)
 
 
-@then('its modules are found as usual and the cause is said')
-def found_as_usual(context):
+@then('its modules are imported as usual and the cause is printed')
+def imported_as_usual(context):
     loaders = [line.split(' ') for line in context.done.stdout.splitlines()]
     assert not [one for one in loaders if one[1] == 'Archive']
     assert 'liftmount.platform.start' in [one[0] for one in loaders]
     assert ARCHIVE in context.done.stderr, context.done.stderr
 
 
-@then('the scenarios on its decisions pass')
+@then('the scenarios of its decisions pass')
 def decisions_pass(context):
     features = [f'tests/features/decisions/{one}.feature' for one in DECISIONS]
     path = f'{context.target / PROGRAM}{os.pathsep}{os.getcwd()}'
--- a/tests/features/steps/known_red_steps.py
+++ b/tests/features/steps/known_red_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the list of tests that are known to be red."""
+"""Steps for the list of tests that are known to fail."""
 
 from behave import given
 from behave import then
@@ -43,6 +43,6 @@
         context.error = str(error)
 
 
-@then('it is refused, naming line {number:d}')
+@then('it is refused with line number {number:d}')
 def refused(context, number):
     assert f'line {number}' in context.error, context.error
--- a/tests/features/steps/malformed_answers_steps.py
+++ b/tests/features/steps/malformed_answers_steps.py
@@ -1,4 +1,4 @@
-"""Steps on answers of the store that hold pieces of other writers."""
+"""Steps for answers of the store that hold invalid items."""
 
 import json
 
@@ -55,7 +55,7 @@
 
 
 class AnswerDecoder:
-    """Reads answers as a feed does; keeps what was left out."""
+    """Decodes answers as a feed does; records the rejected objects."""
 
     def __init__(self):
         self.metrics = Metrics()
@@ -64,26 +64,26 @@
         )
 
     def read(self, read, body, *arguments):
-        """Read the body of an answer with one function of documents."""
+        """Read the body of an answer with a function of documents."""
         page = documents.read_document('/objects/servers', body)
         kind = objects.TARGET_KIND
         report = make_unnamed_recorder(self.rejected_objects.record)
         return read(kind, page, *arguments, report)
 
     def decode(self, stored):
-        """Return what stored entries of targets hold."""
+        """Return the decoded entries of targets."""
         return decode_all(
             stored, objects.read_target, self.rejected_objects.record
         )
 
 
-def body_of(field, pieces):
-    """Return the bytes of an answer; a lone surrogate is one bad byte."""
-    text = f'{{"{field}": [{", ".join(pieces)}], "current_rev": {REVISION}}}'
+def body_of(field, items):
+    """Return the bytes of an answer; a lone surrogate is an invalid byte."""
+    text = f'{{"{field}": [{", ".join(items)}], "current_rev": {REVISION}}}'
     return text.encode(errors='surrogateescape')
 
 
-@when('a list holds a good entry and {item}')
+@when('a list holds a valid entry and {item}')
 def list_holds(context, item):
     context.decoder = AnswerDecoder()
     body = body_of('items', [ITEMS[item], VALID_ITEM])
@@ -92,7 +92,7 @@
     context.decoded = context.decoder.decode(listing.items)
 
 
-@when('a watch tells of a good entry and {item}')
+@when('a watch returns a valid entry and {item}')
 def watch_returns(context, item):
     context.decoder = AnswerDecoder()
     events = [
@@ -104,7 +104,7 @@
     context.decoded = context.decoder.decode(delta.written)
 
 
-@then('the good entry is read, and {left_out} is left out')
+@then('the valid entry is read, and {left_out} is left out')
 def valid_entry_is_read(context, left_out):
     assert [one.name for one in context.decoded.accepted] == ['i-1']
     (key,) = context.decoder.rejected_objects.objects
@@ -112,19 +112,19 @@
     assert left_out in (key, field), (key, field)
 
 
-@then('the target of the bad entry is told as removed')
+@then('the target of the invalid entry is reported as removed')
 def reported_as_removed(context):
     assert context.decoded.rejected == ('i-bad',), context.decoded
 
 
-@when('a page of a list that goes on names nothing')
-def page_names_nothing(context):
+@when('a page of a list that continues has no names')
+def page_without_names(context):
     pages = documents.ListPages(objects.TARGET_KIND, [].append)
     page = {'items': [None], 'more_pages': True, 'current_rev': REVISION}
     context.result = read_or_error(pages.add, page, 0, 0)
 
 
-@then('the list is refused, and nothing seems gone')
+@then('the list is refused, and no object counts as removed')
 def list_refused(context):
     assert isinstance(context.result, PlatformError), context.result
 
@@ -139,7 +139,7 @@
         context.decoder.decode([stored])
 
 
-@then('{count:d} lines tell of it, and the metrics name object and field')
+@then('{count:d} log lines report it, and the metrics name object and field')
 def rejections_counted(context, count):
     total = context.decoder.metrics.totals['refused.invalid_object']
     assert total == count, total
@@ -148,7 +148,7 @@
     assert text == wanted, text
 
 
-@when('the object is read well again')
+@when('the object is valid again')
 def object_accepted(context):
     meta = {'name': 'i-"x"', 'revision': 6}
     document = {'meta': meta, 'spec': ENTRY}
@@ -160,7 +160,7 @@
     )
 
 
-@then('the metrics name it no more')
+@then('the metrics no longer name it')
 def not_in_metrics(context):
     assert context.decoder.rejected_objects.text() == ''
 
@@ -172,7 +172,7 @@
     )
 
 
-@when('a member hands over a route of the kind {kind}')
+@when('a member sends a route of the kind {kind}')
 def member_sends_route(context, kind):
     address = parse_endpoint('198.51.100.1:8443')
     route = Route(
@@ -182,8 +182,8 @@
     data = wire.encode_snapshot(Snapshot((), 0, table, 3))
     document = cbor2.loads(wire.zlib.decompress(data))
     document[2][1][0][2] = kind
-    told = wire.zlib.compress(cbor2.dumps(document))
-    context.decoded_table = wire.decode_snapshot(told).table
+    encoded = wire.zlib.compress(cbor2.dumps(document))
+    context.decoded_table = wire.decode_snapshot(encoded).table
 
 
 @then('it is served as {kind}')
@@ -192,31 +192,35 @@
     assert route.kind is RouteKind(kind), route
 
 
-@when('{count:d} lists hold good entries among random pieces')
+@when('{count:d} lists hold valid entries among random items')
 def random_items(context, count):
     context.lists = 0
-    whole = strategies.builds(json.dumps, JSON)
-    # Cut short, so that no rule of JSON holds in them; brackets and quotes
-    # that don't close would hide where the next piece begins.
-    broken = strategies.text('abc 0:+-.\udcff\n', min_size=1, max_size=9)
-    piece = whole | broken | strategies.sampled_from(list(ITEMS.values()))
+    valid_json = strategies.builds(json.dumps, JSON)
+    # Without brackets and quotes: an unclosed one would make the start of
+    # the next item ambiguous.
+    invalid_json = strategies.text('abc 0:+-.\udcff\n', min_size=1, max_size=9)
+    item = (
+        valid_json
+        | invalid_json
+        | strategies.sampled_from(list(ITEMS.values()))
+    )
 
     @hypothesis_settings(
         max_examples=count, deadline=None, derandomize=True, database=None
     )
-    @given_values(strategies.lists(piece, max_size=4))
+    @given_values(strategies.lists(item, max_size=4))
     def check(others):
         body = body_of('items', [*others, VALID_ITEM, *others])
-        pieces = AnswerDecoder()
-        listing = pieces.read(documents.read_list, body)
-        names = [one.name for one in pieces.decode(listing.items).accepted]
+        decoder = AnswerDecoder()
+        listing = decoder.read(documents.read_list, body)
+        names = [one.name for one in decoder.decode(listing.items).accepted]
         assert names == ['i-1'], names
         context.lists += 1
 
     check()
 
 
-@then('each good entry was read')
+@then('each valid entry is read')
 def valid_entries_are_read(context):
-    # What was not has failed the step before.
+    # An entry that is not read fails the previous step.
     assert context.lists > 0
--- a/tests/features/steps/measurements_steps.py
+++ b/tests/features/steps/measurements_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the tables that measurements print."""
+"""Steps for the evaluation of measurements."""
 
 from importlib import import_module
 
@@ -25,8 +25,8 @@
         assert callable(module.main), name
 
 
-@then('each mechanism stands once in its file, and switching it off changes '
-      'it')  # fmt: skip
+@then('each mechanism occurs once in its file, and disabling it changes '
+      'the file')  # fmt: skip
 def mechanisms_found(_context):
     for one in MECHANISMS:
         if one.name == CONTROL:
@@ -36,8 +36,8 @@
         assert one.new != one.old, one.name
 
 
-@when('a window from 10 s on loses worth while this goes on: {events}')
-def window_loses(context, events):
+@when('a window from 10 s has losses during these events: {events}')
+def window_has_losses(context, events):
     found = []
     for text in events.split(', '):
         words = text.split()
@@ -59,7 +59,7 @@
     assert context.cause == cause, context.cause
 
 
-@given('these lines of logs')
+@given('these log lines')
 def lines_of_logs(context):
     context.silence_table = Table()
     for row in context.table:
@@ -72,8 +72,9 @@
         context.silence_table.add(line)
 
 
-@then('the silences are one after {first:d} and {second:d} ms with {resets:d} '
-      'resets, and one after {third:d} ms with {none:d} resets')  # fmt: skip
+@then('targets are unresponsive until {first:d} and {second:d} ms with '
+      '{resets:d} resets, and until {third:d} ms with '
+      '{none:d} resets')  # fmt: skip
 def unresponsive_periods_are(context, first, second, resets, third, none):
     found = [
         ([at - one.doubted_ms for at in one.judged_ms], one.resets)
@@ -82,12 +83,12 @@
     assert found == [([first, second], resets), ([third], none)], found
 
 
-@then('{count:d} doubt was dispelled')
+@then('{count:d} suspected stall was cleared')
 def stalls_cleared(context, count):
     assert context.silence_table.dispelled == count
 
 
-@given('these lines of logs of calls')
+@given('these log lines of calls')
 def lines_of_calls(context):
     context.lines = []
     for row in context.table:
--- a/tests/features/steps/pages_steps.py
+++ b/tests/features/steps/pages_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the pages and the public interface."""
+"""Steps for the documentation and the public interface."""
 
 from importlib import import_module
 import inspect
@@ -21,13 +21,13 @@
 MODULE = re.compile(r'`((?:decisions|services|models|network)/\w+\.py)`')
 
 
-def page(name):
+def read_page(name):
     return (ROOT / name).read_text()
 
 
 @then('each Python example of docs/EMBEDDING.md runs')
 def examples_run(_context):
-    examples = CODE.findall(page('docs/EMBEDDING.md'))
+    examples = CODE.findall(read_page('docs/EMBEDDING.md'))
     assert len(examples) >= 3
     for example in examples:
         exec(compile(example, 'EMBEDDING.md', 'exec'), {})
@@ -44,14 +44,14 @@
 
 @then('every module that docs/ARCHITECTURE.md names exists')
 def modules_exist(_context):
-    found = MODULE.findall(page('docs/ARCHITECTURE.md'))
+    found = MODULE.findall(read_page('docs/ARCHITECTURE.md'))
     assert len(found) > 10
     for name in found:
         assert (ROOT / 'src/liftmount/_internal' / name).exists(), name
 
 
 def read_indented_block(text, heading):
-    """Return the indented block that follows a heading."""
+    """Return the indented block after a heading."""
     after = text.split(heading, 1)[1]
     lines = []
     for line in after.splitlines()[1:]:
@@ -64,19 +64,19 @@
     return '\n'.join(lines)
 
 
-@then('the example of docs/operators/settings.md is taken')
+@then('the example of docs/operators/settings.md is valid')
 def settings_example(context):
     text = read_indented_block(
-        page('docs/operators/settings.md'), '## Example'
+        read_page('docs/operators/settings.md'), '## Example'
     )
     path = Path(context.directory) / 'example.toml'
     path.write_text(text)
     assert load_settings(path).instance.name == 'lm-1'
 
 
-@then('the worked example "{team}" of docs/operators/teams.md is taken')
+@then('the worked example "{team}" of docs/operators/teams.md is valid')
 def team_example(_context, team):
-    text = page('docs/operators/teams.md')
+    text = read_page('docs/operators/teams.md')
     document = tomllib.loads(read_indented_block(text, f'### Team {team}'))
     parsed = parse_team(document, team)
     heading = f'### Template {parsed.template}'
--- a/tests/features/steps/process_steps.py
+++ b/tests/features/steps/process_steps.py
@@ -1,4 +1,4 @@
-"""Steps on real processes against stand-ins of the platform."""
+"""Steps for balancer processes against stand-ins of the platform."""
 
 import json
 import os
@@ -35,7 +35,7 @@
 
 
 class TargetThread:
-    """A target: keeps what it got, and answers openings."""
+    """A target that records its packets and answers openings."""
 
     def __init__(self, number, ip, port, client_port):
         self.number = number
@@ -98,7 +98,6 @@
         }
         self.write_settings()
         environment = dict(os.environ, LIFTMOUNT_CONFIG=str(self.path))
-        # A thread of its own keeps the pipe empty.
         self.process = subprocess.Popen(
             [sys.executable, '-m', 'liftmount.platform'],
             env=environment,
@@ -107,14 +106,14 @@
         )
 
     def write_settings(self, text=None):
-        """Write the settings file, whole."""
+        """Replace the settings file atomically."""
         data = text or tomli_w.dumps(self.settings)
         part = self.path.with_suffix('.new')
         part.write_text(data)
         part.rename(self.path)
 
     def ready(self):
-        """Return status and reason of readiness; (0, '') without answer."""
+        """Return status and reason of readiness, (0, '') without answer."""
         url = f'http://{self.settings["listen"]["ready"]}/ready'
         try:
             with urllib.request.urlopen(url, timeout=PROBE_S) as answer:
@@ -125,7 +124,7 @@
             return 0, ''
 
     def events(self, event):
-        """Return the lines of the log with an event."""
+        """Return the log lines of an event."""
         lines = []
         for line in self.log_path.read_text().splitlines():
             if line.startswith('{') and f'"event": "{event}"' in line:
@@ -133,14 +132,14 @@
         return lines
 
     def stop(self):
-        """End the process, at once."""
+        """Kill the process if it runs, and wait for it."""
         if self.process.poll() is None:
             self.process.kill()
         self.process.wait()
 
 
 class FlowClient:
-    """A client with one flow through the balancer that started last."""
+    """A client with one flow through the most recently started balancer."""
 
     def __init__(self, context, address):
         ip, _colon, port = address.partition(':')
@@ -167,7 +166,7 @@
         self._socket.sendto(packet, self._balancer)
 
     def open(self):
-        """Send an opening; return the segment that comes back."""
+        """Send an opening; return the segment of the answer."""
         self.send(
             packet_headers.HEADER.pack(10, 0, 0, *self.ends, 0, 77, SYN, 0)
         )
@@ -175,7 +174,7 @@
 
 
 class PlatformDeployment:
-    """What a scenario started; environment.py stops it."""
+    """Everything that a scenario started; environment.py stops it."""
 
     def __init__(self, store):
         self.store = store
@@ -183,7 +182,7 @@
         self.balancers = []
 
     def stop(self):
-        """End processes, threads and sockets."""
+        """Stop processes, threads and sockets."""
         for balancer in self.balancers:
             balancer.stop()
         for target in self.targets:
@@ -192,7 +191,7 @@
 
 
 def wait_until(condition, limit_s=TIMEOUT_S):
-    """Wait for a condition; return whether it came true."""
+    """Wait for a condition; return whether it became true."""
     until = time.monotonic() + limit_s
     while time.monotonic() < until:
         if condition():
@@ -228,8 +227,8 @@
         context.store.write('servers', f'i-{target.number:x}', entry)
 
 
-@given('the configuration version {version:d} leads {address} to {service}')
-@when('the configuration version {version:d} leads {address} to {service}')
+@given('configuration version {version:d} routes {address} to {service}')
+@when('configuration version {version:d} routes {address} to {service}')
 def write_configuration(context, version, address, service):
     ip, _colon, port = address.partition(':')
     route = {
@@ -249,7 +248,7 @@
 
 
 def start_balancer(context, domain):
-    """Start one more balancer."""
+    """Start another balancer."""
     index = len(context.deployment.balancers) + 1
     balancer = BalancerProcess(context, index, domain)
     context.deployment.balancers.append(balancer)
@@ -278,7 +277,7 @@
     assert wait_until(lambda: balancer.ready()[0] == 503), balancer.ready()
 
 
-@when('both know each other')
+@when('both have joined the domain')
 def both_have_joined(context):
     def have_two_members():
         return all(
@@ -289,7 +288,7 @@
     assert wait_until(have_two_members)
 
 
-@when('the first one is killed, and the second one takes it for dead')
+@when('the first one is killed, and the second one marks it dead')
 def first_is_dead(context):
     first, second = context.deployment.balancers
     first.stop()
@@ -302,7 +301,7 @@
     assert wait_until(is_dead)
 
 
-@given('the store answers nothing')
+@given('the store does not answer')
 def store_silent(context):
     context.store.store.trouble = 'says nothing'
 
@@ -319,8 +318,8 @@
     store.trouble = ''
 
 
-@then('it says "{reason}"')
-def says_reason(context, reason):
+@then('its readiness reason is "{reason}"')
+def readiness_reason_is(context, reason):
     assert context.balancer.ready() == (503, reason), context.balancer.ready()
 
 
@@ -339,7 +338,7 @@
             time.sleep(0.01)
 
 
-@then('one target got all of them, in the form that the client wrote')
+@then('one target receives all of them, unchanged')
 def one_target_received_all(context):
     def receivers():
         return [
@@ -355,7 +354,7 @@
     assert len(others) == len(context.deployment.targets) - 1
 
 
-@when('{interval:d} ms go by')
+@when('the test waits {interval:d} ms')
 def wait_ms(_context, interval):
     time.sleep(interval / 1_000)
 
@@ -379,12 +378,12 @@
     context.store.write('evacuations', domain, {})
 
 
-@when('an operator takes domain {domain} back')
+@when('an operator ends the evacuation of domain {domain}')
 def return_domain(context, domain):
     context.store.call(context.store.store.remove('evacuations', domain))
 
 
-@then('all balancers hold {domain} for {event} within {limit:d} ms')
+@then('all balancers log "{event}" for domain {domain} within {limit:d} ms')
 def evacuation_is_logged(context, domain, event, limit):
     def is_in_force():
         return all(
@@ -395,13 +394,13 @@
     assert wait_until(is_in_force, limit / 1_000)
 
 
-@then('a client that opens a flow to {address} is refused at once')
+@then('a client that opens a flow to {address} is refused immediately')
 def client_refused(context, address):
     with FlowClient(context, address) as client:
         assert client.open().resets
 
 
-@when('the open connections to the store fall silent')
+@when('the open connections to the store become silent')
 def connections_silent(context):
     async def silence():
         context.store.store.silence()
@@ -409,7 +408,7 @@
     context.store.call(silence())
 
 
-@then('one balancer alone reads the store')
+@then('exactly one balancer reads the store')
 def one_reads(context):
     def watchers():
         watching = context.store.store.watching
@@ -418,7 +417,7 @@
     assert wait_until(lambda: len(watchers()) == 1), watchers()
 
 
-@when('it gets SIGTERM while the fabric asks for readiness twice a second')
+@when('it gets SIGTERM while the fabric probes readiness twice a second')
 def gets_sigterm(context):
     balancer = context.balancer
     balancer.process.send_signal(signal.SIGTERM)
@@ -432,7 +431,7 @@
     context.stop_duration_ms = 1_000 * (time.monotonic() - context.stopped)
 
 
-@then('it answered 503 twice or more, and ended with status 0 within '
+@then('it answers 503 at least twice, and exits with status 0 within '
       '{limit:d} ms')  # fmt: skip
 def stopped_as_planned(context, limit):
     assert context.statuses.count(503) >= 2, context.statuses
@@ -440,14 +439,14 @@
     assert context.stop_duration_ms <= limit, context.stop_duration_ms
 
 
-@when('a balancer in domain {domain} gets SIGTERM in its first moments')
+@when('a balancer in domain {domain} gets SIGTERM as soon as it has started')
 def sigterm_early(context, domain):
     balancer = start_balancer(context, domain)
     status = Path(f'/proc/{balancer.process.pid}/status')
     ignored_hup = 1 << (signal.SIGHUP - 1)
 
     def has_begun():
-        # The first thing that a balancer does is to ignore SIGHUP.
+        # A balancer ignores SIGHUP before it does anything else.
         (line,) = [
             one
             for one in status.read_text().splitlines()
@@ -460,8 +459,8 @@
     context.stopped = time.monotonic()
 
 
-@then('it said that it forwards on, and ended with status 0 within {limit:d} '
-      'ms')  # fmt: skip
+@then('it logs that it has left, and exits with status 0 within '
+      '{limit:d} ms')  # fmt: skip
 def stopped_during_startup(context, limit):
     process = context.balancer.process
     assert process.wait(limit / 1_000) == 0, process.returncode
@@ -479,16 +478,16 @@
     balancer.process.send_signal(signal.SIGHUP)
 
 
-@then('it says "{event}", and still serves')
-def says_event(context, event):
+@then('it logs "{event}", and is still ready')
+def logs_event(context, event):
     assert wait_until(lambda: context.balancer.events(event))
     assert context.balancer.ready()[0] == 200
 
 
-@when('a balancer in domain {domain} gets SIGHUP from its first moment on')
+@when('a balancer in domain {domain} gets SIGHUP repeatedly during startup')
 def sighup_early(context, domain):
     balancer = start_balancer(context, domain)
-    # The interpreter itself has to be up; what follows is ours.
+    # SIGHUP ends the interpreter until the balancer ignores it.
     path = Path(f'/proc/{balancer.process.pid}/maps')
     wait_until(lambda: 'python' in path.read_text())
     time.sleep(0.1)
--- a/tests/features/steps/product_steps.py
+++ b/tests/features/steps/product_steps.py
@@ -1,4 +1,4 @@
-"""Steps on settings, documents, the tool and the pages."""
+"""Steps for settings, documents, statsd and the operators' tool."""
 
 import ast
 import copy
@@ -67,8 +67,8 @@
 TIMEOUT_S = 15.0
 
 
-@given('good settings')
-def good_settings(context):
+@given('valid settings')
+def valid_settings(context):
     context.settings = copy.deepcopy(GOOD_SETTINGS)
     context.path = Path(context.directory) / 'liftmountd.toml'
 
@@ -80,7 +80,7 @@
 
 
 @given('a settings file that {state}')
-def broken_file(context, state):
+def unreadable_file(context, state):
     context.settings = None
     context.path = Path(context.directory) / 'liftmountd.toml'
     if state == 'is not TOML':
@@ -128,8 +128,8 @@
     assert len(lines) == count, lines
 
 
-@given('a good team')
-def good_team(context):
+@given('a valid team')
+def valid_team(context):
     context.team = copy.deepcopy(TEAM)
     resolve_team(context.team)
 
@@ -140,7 +140,7 @@
     return resolve_services(team, template, 'team.toml')
 
 
-@when('the team\'s "{key}" becomes {value}')
+@when('the team\'s "{key}" is set to {value}')
 def change_team(context, key, value):
     *parents, last = key.split('.')
     container = context.team
@@ -158,14 +158,14 @@
     except ConfigurationError as error:
         lines = [str(problem) for problem in error.problems]
     else:
-        raise AssertionError('the team was taken')
+        raise AssertionError('the team was accepted')
     matching = [line for line in lines if key in line and message in line]
     assert matching, lines
     assert all(line.startswith('team.toml: ') for line in lines), lines
 
 
 def settings_keys(kind=Settings, prefix=''):
-    """Return every key of the settings, dotted."""
+    """Return the dotted path of every settings key."""
     keys = []
     for item in attrs.fields(kind):
         nested = [
@@ -234,7 +234,7 @@
 
 
 def evacuated_at_owner(context):
-    """Return the domains whose targets are evacuated, None if unknown."""
+    """Return the domains with evacuated targets, None if unknown."""
     deployment = context.deployment
     address = deployment.service_address('firm-a', 'guidance')
     for name in deployment.balancers:
@@ -249,8 +249,8 @@
     return None
 
 
-@then('the owner of guidance of firm-a soon holds {name} for evacuated')
-def owner_holds_evacuated(context, name):
+@then('the owner of guidance of firm-a eventually shows {name} as evacuated')
+def owner_shows_evacuated(context, name):
     wanted = set() if name == 'none' else {name}
     until = time.monotonic() + TIMEOUT_S
     while (found := evacuated_at_owner(context)) != wanted:
@@ -258,7 +258,7 @@
         time.sleep(0.2)
 
 
-@then('the tool prints since when {domain} is evacuated, and by whom')
+@then('the tool prints the time of the evacuation of {domain} and its writer')
 def prints_evacuation(context, domain):
     rows = {
         row['failure_domain']: row for row in json.loads(context.done.stdout)
@@ -274,7 +274,7 @@
     json.loads(context.done.stdout)
 
 
-@when('a team asks for the addresses of firm-a')
+@when('another team with the addresses of firm-a is applied')
 def clashing_team(context):
     deployment = context.deployment
     document = deployment.team_document('firm-a')
@@ -285,8 +285,8 @@
     context.done = deployment.tool('team', 'apply', str(path), check=False)
 
 
-@when('the platform goes down')
-def platform_goes_down(context):
+@when('the platform becomes unavailable')
+def platform_becomes_unavailable(context):
     context.deployment.platform_faults(down=True)
 
 
@@ -297,7 +297,7 @@
     context.statsd.settimeout(10)
 
 
-@when('each reason is counted once and 3 packets are passed on')
+@when('each reason is counted once and 3 packets are forwarded')
 def count_all(context):
     address = Endpoint(*context.statsd.getsockname())
     counters = Counters(StatsdSettings(address))
@@ -310,7 +310,7 @@
     counters.flush()
 
 
-@then('the socket got a counter for each reason and "{last}"')
+@then('the socket receives a counter for each reason and "{last}"')
 def counters_received(context, last):
     expected = {last}
     for reason in Reason:
@@ -322,7 +322,7 @@
     context.statsd.close()
 
 
-@when('the operator watches the status and firm-a is changed')
+@when('the operator watches the status while firm-a is changed')
 def watch_status(context):
     deployment = context.deployment
     command = [sys.executable, '-u', '-m', PROGRAMS, 'tool']
@@ -347,12 +347,12 @@
         watch.stdout.close()
 
 
-@then('the watch has shown two revisions')
+@then('the watch has printed two revisions')
 def two_revisions(context):
     assert len(context.revisions) == 2, context.revisions
 
 
-@when('the load endpoint of a target lies')
+@when('the load endpoint of a target reports 42 for its load')
 def override_load(context):
     deployment = context.deployment
     deployment.set_target('guidance-1', 'firm-a', lies=42, lag_ms=10_000)
@@ -361,7 +361,7 @@
     context.health = call(plan['address'], '/health')
 
 
-@then('it shows the lie')
+@then('it shows load 42 and health ok')
 def shows_override(context):
     assert context.load.strip() == '42', context.load
     assert context.health.strip() == 'ok', context.health
--- a/tests/features/steps/soak_steps.py
+++ b/tests/features/steps/soak_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the fault soak: its runs, its judges, its transport."""
+"""Steps for the fault soak: its runs, checks, transport and plans."""
 
 import asyncio
 import random
@@ -52,7 +52,7 @@
         faults.StoreLinkHarmed(600, 1, Harm.RESET, 1_900),
         faults.BalancerKilled(700, 1, 100),
     ),
-    'the store forgets what nobody could read': (
+    'the store drops history that no balancer has read': (
         *(
             faults.StoreLinkHarmed(500, balancer, Harm.RESET, 2_000)
             for balancer in range(6)
@@ -71,7 +71,7 @@
         faults.BalancerPaused(1_500, 2, 2_000),
         faults.AllKilled(4_500, 'b', 500),
     ),
-    'a target is cut off, and another': (
+    'links to several targets fail': (
         faults.TargetLinkHarmed(500, 0, Harm.RESET, 4_500),
         faults.TargetLinkHarmed(2_000, 4, Harm.SILENT, 2_000),
         faults.TargetLinkHarmed(5_000, 6, Harm.DELAYED, 1_500),
@@ -80,7 +80,7 @@
         faults.TargetCrashed(500, 0, 2_500, True),
         faults.TargetCrashed(1_500, 4, 1_500, False),
     ),
-    'the store fails in every way': (
+    'the store has faults of every kind': (
         faults.StoreTroubled(500, 'says nothing', 1_500),
         faults.HistoryForgotten(2_500),
         faults.StoreTroubled(3_000, 'answers 503', 1_000),
@@ -96,18 +96,19 @@
     context.plan = PLANS[name]
 
 
-@when('they are played on {count:d} balancers in each domain')
+@when('they are injected with {count:d} balancers in each domain')
 def run_faults(context, count):
     play(context, SEED, count, context.plan)
 
 
-@when('seed {seed:d} is played on {count:d} balancers in each domain')
+@when('the faults of seed {seed:d} are injected with {count:d} balancers in '
+      'each domain')  # fmt: skip
 def run_seed(context, seed, count):
     play(context, seed, count, ())
 
 
 def play(context, seed, balancers, plan):
-    """Play faults in this process."""
+    """Run a deployment with these faults, or those of the seed."""
     length_ms = LENGTH_MS if balancers == 2 else Size().length_ms
     size = Size(length_ms, balancers)
     context.outcome = asyncio.run(
@@ -120,7 +121,7 @@
     assert not context.outcome.breaches, context.outcome
 
 
-@then('at least {share:g} of all requests were served')
+@then('at least {share:g} of all requests are served')
 def share_served(context, share):
     counts = context.outcome.counts
     served = counts['served']
@@ -128,19 +129,19 @@
     assert served >= share * requested, counts
 
 
-@then('at most {share:g} of them took long')
+@then('at most {share:g} of them are slow')
 def share_slow(context, share):
     counts = context.outcome.counts
     requested = counts['served'] + counts.get('unserved', 0)
     assert counts['slow'] <= share * requested, counts
 
 
-# Judges.
+# Checks.
 
 
 @define(eq=False)
 class FakeTarget:
-    """A target as far as a witness looks at it."""
+    """The attributes of a target that a witness reads."""
 
     name: str
     service: str = 'guide'
@@ -148,11 +149,11 @@
     domain: str = 'a'
 
     def holds(self, key):
-        """Tell whether a flow is open here."""
+        """Return whether a flow is open at this target."""
         return key in self.keys
 
 
-@given('a witness to whom all balancers are in touch')
+@given('a witness with all balancers in touch')
 def witness(context):
     context.clock = ManualClock(NOW_MS)
     context.touch = promises.Touch()
@@ -162,21 +163,21 @@
 
 
 def make_request(kind, attempt):
-    """Return a request as targets see it."""
+    """Return a request as a target receives it."""
     return {'try': f'r.{attempt}', 'request': 'r', 'kind': kind.value}
 
 
 def run_attempts(context, kind, *attempts):
-    """Let tries run, each at a target of its own."""
+    """Run attempts of a request, each at a different target."""
     for number, attempt in enumerate(attempts):
         target = FakeTarget(f'i-{number}')
         context.witness.ran(target, FLOW, make_request(kind, attempt))
 
 
 def open_at(context, service='guide', left_ms=None, evacuated_ms=None):
-    """Let an opening reach a target, maybe one that left.
+    """Deliver an opening to a target.
 
-    Its domain may be one that was evacuated.
+    Optionally, the target left or its domain was evacuated some time ago.
     """
     target = FakeTarget('i-1', service)
     if left_ms is not None:
@@ -188,7 +189,7 @@
 
 
 def reset(context, cut_ms=None, keys=(FLOW,), is_open=True):
-    """Let a client see a reset of a balancer."""
+    """Report a reset of a balancer to a client."""
     target = FakeTarget('i-1', keys=keys)
     if is_open:
         context.witness.opened(target, FLOW)
@@ -198,7 +199,7 @@
 
 
 def record_requests(context, served, requested):
-    """Let requests come to their end after the last fault."""
+    """Record requests after the last fault, of which some are served."""
     load = Load(Kind.STREAM, 'guide', 1, 1, 1)
     for number in range(requested):
         context.witness.asked(load, NOW_MS, NOW_MS, number < served)
@@ -207,12 +208,14 @@
 
 EVENTS = {
     'a request runs': lambda c: run_attempts(c, Kind.AT_MOST_ONCE, 0),
-    'a try runs at two targets': lambda c: run_attempts(c, Kind.STREAM, 0, 0),
-    'a request that must not be repeated runs in two tries': lambda c: (
+    'an attempt runs at two targets': lambda c: run_attempts(
+        c, Kind.STREAM, 0, 0
+    ),
+    'a request that must not be repeated runs in two attempts': lambda c: (
         run_attempts(c, Kind.AT_MOST_ONCE, 0, 1)
     ),
-    'a request that may be repeated runs in two tries': lambda c: run_attempts(
-        c, Kind.STREAM, 0, 1
+    'a request that may be repeated runs in two attempts': lambda c: (
+        run_attempts(c, Kind.STREAM, 0, 1)
     ),
     'an opening reaches a target of its service': open_at,
     'an opening reaches a target of another service': lambda c: open_at(
@@ -244,29 +247,29 @@
     'an answer belongs to another request': lambda c: c.witness.mixed(
         'r.0', 's.0'
     ),
-    '94 of 100 requests are served at the end': lambda c: record_requests(
-        c, 94, 100
+    '94 of 100 requests are served after the last fault': lambda c: (
+        record_requests(c, 94, 100)
     ),
-    '95 of 100 requests are served at the end': lambda c: record_requests(
-        c, 95, 100
+    '95 of 100 requests are served after the last fault': lambda c: (
+        record_requests(c, 95, 100)
     ),
-    '5 of 5 requests are served at the end': lambda c: record_requests(
-        c, 5, 5
+    '5 of 5 requests are served after the last fault': lambda c: (
+        record_requests(c, 5, 5)
     ),
 }
 
 
-@when('it hears that {event}')
+@when('the witness sees that {event}')
 def event_happens(context, event):
     EVENTS[event](context)
 
 
-@then('it notes nothing')
+@then('the witness records nothing')
 def no_breach_recorded(context):
     assert not context.witness.breaches, context.witness.breaches
 
 
-@then('it notes "{promise}"')
+@then('the witness records "{promise}"')
 def breach_recorded(context, promise):
     found = [one.promise for one in context.witness.breaches]
     assert found == [promise], found
@@ -291,13 +294,13 @@
     context.datagram = bytes(changed)
 
 
-@then('it counts as changed: {answer}')
-def counts_as_changed(context, answer):
+@then('it counts as changed: {expected}')
+def counts_as_changed(context, expected):
     is_changed = not transport.is_unchanged(context.datagram)
-    assert is_changed == (answer == 'yes')
+    assert is_changed == (expected == 'yes')
 
 
-@when('{count:d} bytes go each way and {loss:g} of the packets are lost')
+@when('{count:d} bytes are sent each way and {loss:g} of the packets are lost')
 def transfer_both_ways(context, count, loss):
     rng = random.Random(SEED)
     context.data = [rng.randbytes(count) for _ in range(2)]
@@ -325,7 +328,7 @@
             end.tick(now_ms)
 
 
-@then('both ends hold what the other one wrote')
+@then('each end has received what the other one wrote')
 def both_hold(context):
     assert context.received[0] == context.data[1]
     assert context.received[1] == context.data[0]
@@ -334,20 +337,20 @@
 # Plans.
 
 
-@when('plans are drawn of the seeds 1, 1 and 2')
+@when('plans are drawn from the seeds 1, 1 and 2')
 def plans_drawn(context):
     context.plans = [
         faults.draw_plan(seed, 20_000, 6, 9) for seed in (1, 1, 2)
     ]
 
 
-@then('the first two are alike and the third is not')
-def plans_alike(context):
+@then('the first two are equal and the third is not')
+def plans_are_equal(context):
     first, second, third = context.plans
     assert first == second != third
 
 
-@then('{count:d} seeds bring about every kind of fault')
+@then('{count:d} seeds draw every kind of fault')
 def every_kind(context, count):
     drawn = {
         type(fault)
--- a/tests/features/steps/start_steps.py
+++ b/tests/features/steps/start_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the start of a balancer, and on what knows the platform."""
+"""Steps for the imports of a balancer and of the platform adapter."""
 
 import importlib
 import os
@@ -24,7 +24,7 @@
 )
 FIRST_PACKET = ', '.join(ENTRIES[:2])
 START = ', '.join(ENTRIES[:3])
-# Field names that only the platform uses; other words are too common.
+# Field names that only the platform uses, without common words.
 FIELDS = re.compile(
     'warmup_left_ms|path_prefix|weighted_backends|current_rev|more_pages|'
     'ephemeral_ports|allow_stale|created_rev|node_name|max_flow_s|'
@@ -36,7 +36,7 @@
 
 
 def imported(modules):
-    """Return what a bare Python has imported after it imported modules."""
+    """Return the names of all modules that a bare Python then holds."""
     done = subprocess.run(
         [sys.executable, '-S', '-c', LIST_MODULES.format(imported=modules)],
         capture_output=True,
@@ -47,17 +47,17 @@
     return done.stdout.split()
 
 
-@when('the modules until the first packet are listed')
+@when('the modules imported before the first packet are listed')
 def list_first(context):
     context.modules = imported(FIRST_PACKET)
 
 
-@when('the modules of a start are listed')
+@when('the modules imported at startup are listed')
 def list_modules(context):
     context.modules = imported(START)
 
 
-@given('a module whose import takes turns')
+@given('a module that imports 2 others')
 def module_with_imports(context):
     lines = {
         'lm_turns_outer': 'import lm_turns_one\nimport lm_turns_two',
@@ -68,13 +68,13 @@
         (context.directory / f'{name}.py').write_text(text)
 
 
-@when('it is imported in such a context')
+@when('it is imported within the import hook')
 def import_with_hook(context):
     context.callback_calls = 0
 
     def callback():
         context.callback_calls += 1
-        # What a turn imports takes none.
+        # Imports of the callback itself do not call it again.
         importlib.import_module('wave')
 
     sys.path.insert(0, str(context.directory))
@@ -87,8 +87,8 @@
         sys.modules.pop('wave', None)
 
 
-@then('a turn was taken before it and before each of the {count:d} modules '
-      'that it imports')  # fmt: skip
+@then('the callback was called before it and before each of the {count:d} '
+      'modules that it imports')  # fmt: skip
 def callback_calls_counted(context, count):
     assert context.callback_calls == 1 + count, context.callback_calls
 
@@ -114,7 +114,7 @@
 
 
 def outside_adapter():
-    """Yield the sources that must not know the platform."""
+    """Yield paths and texts of the sources outside the adapter."""
     for path in sorted(SOURCE.rglob('*.py')):
         if ADAPTER not in path.parents:
             yield path, path.read_text()
--- a/tests/features/steps/startup_steps.py
+++ b/tests/features/steps/startup_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the time of a balancer before its event loop."""
+"""Steps for the startup of a balancer before its event loop runs."""
 
 import json
 import os
@@ -29,19 +29,19 @@
 PACKETS, READY, HTTP, DATAGRAMS = range(4)
 TIMEOUT_S = 10.0
 POLL_INTERVAL_S = 0.005
-# A turn of a balancer on a busy machine; one that waited took 300 ms.
+# Allows for a busy machine; an iteration that blocks takes longer.
 MAX_ITERATION_S = 0.25
 SYN = 2
 
 
 def endpoint(context, group, port):
-    """Return an address of this run."""
+    """Return an address of this test run."""
     run = context.run
     return Endpoint(run.ip(group, 1), run.first_port + port)
 
 
 def start_store(context):
-    """Start an empty store, at an address of this run."""
+    """Start an empty store at an address of this test run."""
     context.run = make_run_addresses()
     address = endpoint(context, STORE, HTTP)
     context.store = StoreThread(address.ip, address.port)
@@ -78,7 +78,7 @@
 
 
 def begin_startup(context):
-    """Start a balancer, with its lists under way."""
+    """Begin the startup of a balancer, with its lists in progress."""
     startup = create_startup_context(make_settings(context), packet_headers)
     context.add_cleanup(startup.path.socket.close)
     if startup.readiness is not None:
@@ -100,7 +100,7 @@
 
 
 def run_until(context, is_done, timeout_s=TIMEOUT_S):
-    """Take turns until something holds; return whether it did."""
+    """Iterate until a condition is true; return whether it became true."""
     end_s = time.monotonic() + timeout_s
     context.max_iteration_s = 0.0
     while not is_done():
@@ -114,8 +114,8 @@
     return True
 
 
-@given("an opening that waits in the balancer's socket")
-def opening_waits(context):
+@given("an opening is queued in the balancer's socket")
+def opening_is_queued(context):
     context.target = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     context.target.bind(endpoint(context, TARGET, DATAGRAMS).socket_address())
     context.target.setblocking(False)
@@ -130,7 +130,7 @@
         client.sendto(context.opening, address.socket_address())
 
 
-@when('a balancer takes turns until it knows routes and targets')
+@when('a balancer iterates until it has routes and targets')
 def run_until_complete(context):
     if 'startup' not in context:
         begin_startup(context)
@@ -138,17 +138,19 @@
     assert run_until(context, lambda: state.is_complete)
 
 
-@then("it knows {count:d} targets, as of the store's revision")
+@then("it has {count:d} targets, as of the store's revision")
 def targets_are_listed(context, count):
     startup = context.startup
     assert len(startup.path.state.tags.entries) == count
     revision = context.store.store.revision
-    known = startup.listings[TARGETS]
-    assert known.revision == revision and known.size_bytes, startup.listings
+    listing = startup.listings[TARGETS]
+    assert listing.revision == revision and listing.size_bytes, (
+        startup.listings
+    )
     assert startup.path.store_cache.directory.revision == revision
 
 
-@then('the target gets the opening within further turns')
+@then('the target receives the opening in a later iteration')
 def target_receives(context):
     received = []
 
@@ -163,7 +165,7 @@
     assert packet_headers.read(received[0][8:]).opens, received
 
 
-@when('the store {trouble}, and a balancer takes turns for {interval:d} ms')
+@when('a balancer iterates for {interval:d} ms while the store {trouble}')
 def run_with_faulty_store(context, trouble, interval):
     context.store.store.trouble = trouble
     begin_startup(context)
@@ -171,7 +173,7 @@
 
 
 def logged_events(context):
-    """Return the events that the balancer has logged."""
+    """Return the events in the balancer's log."""
     reading, writing = os.pipe()
     with os.fdopen(reading, 'rb') as stream:
         context.startup.log._descriptor = writing
@@ -181,24 +183,24 @@
     return [json.loads(line)['event'] for line in lines]
 
 
-@then('it knows nothing, no turn took long, and it {what}')
+@then('it has no lists, no iteration blocked, and it {what}')
 def nothing_is_listed(context, what):
     assert not context.startup.listings
     assert not context.startup.path.state.is_complete
     assert context.max_iteration_s < MAX_ITERATION_S, context.max_iteration_s
     has_failed = 'first_list_failed' in logged_events(context)
-    assert has_failed == (what == 'says that a list failed'), what
+    assert has_failed == (what == 'logs a failed list'), what
 
 
-@given('a socket that the launcher has bound to {address}')
+@given('a socket that the launcher bound to {address}')
 def bound_socket(context, address):
-    places = {
+    addresses = {
         'its address': str(endpoint(context, BALANCER, PACKETS)),
-        'another one': str(endpoint(context, TARGET, PACKETS)),
-        'no good address': '127.0.0.1',
+        'another address': str(endpoint(context, TARGET, PACKETS)),
+        'an invalid address': '127.0.0.1',
     }
-    context.bound = bind_packet_socket(places[address])
-    assert (context.bound is None) == (address == 'no good address')
+    context.bound = bind_packet_socket(addresses[address])
+    assert (context.bound is None) == (address == 'an invalid address')
 
 
 @when('a balancer starts with that socket')
@@ -211,24 +213,24 @@
     context.add_cleanup(context.startup.readiness.close)
 
 
-@then('it listens at the address of its settings, {how}')
+@then('it is bound to the address of its settings, {how}')
 def listens_at_address(context, how):
     found = context.startup.path.socket
     address = endpoint(context, BALANCER, PACKETS).socket_address()
     assert found.getsockname() == address
-    assert (found is context.bound) == (how == 'by that socket')
+    assert (found is context.bound) == (how == 'with that socket')
 
 
-@when('the address for readiness is taken')
-def take_readiness(context):
-    taken = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    context.add_cleanup(taken.close)
-    taken.bind(endpoint(context, BALANCER, READY).socket_address())
-    taken.listen()
+@when('the readiness address is in use')
+def occupy_readiness_address(context):
+    listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    context.add_cleanup(listener.close)
+    listener.bind(endpoint(context, BALANCER, READY).socket_address())
+    listener.listen()
     begin_startup(context)
 
 
-@then('a balancer starts without it and says so')
+@then('a balancer starts without readiness and logs the cause')
 def starts_without_readiness(context):
     assert context.startup.readiness is None
     assert 'not_bound' in logged_events(context)
--- a/tests/features/steps/trace_steps.py
+++ b/tests/features/steps/trace_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the tracing of a client in logs."""
+"""Steps for the tracing of a client in logs."""
 
 import contextlib
 import io
@@ -22,12 +22,12 @@
 
 
 def append(context, name, text):
-    """Add a line to a log."""
+    """Append a line to a log."""
     with (context.directory / name).open('a') as stream:
         stream.write(text + '\n')
 
 
-@given('the log {name} also holds "{first}", "{second}" and "{third}"')
+@given('log {name} also holds "{first}", "{second}" and "{third}"')
 def add_lines(context, name, first, second, third):
     for text in (first, second, third):
         append(context, name, text)
--- a/tests/features/steps/transfer_steps.py
+++ b/tests/features/steps/transfer_steps.py
@@ -1,4 +1,4 @@
-"""Steps on transfers that take long."""
+"""Steps for slow transfers."""
 
 import asyncio
 import time
@@ -43,7 +43,7 @@
 
 
 def make_configuration(count):
-    """Return a configuration of many routes to the service guide."""
+    """Return a configuration with routes to the service guide."""
     routes = [
         {
             'name': f'route-of-a-long-name-{number:05}',
@@ -71,13 +71,15 @@
     context.store.write('config', 'main', make_configuration(count))
 
 
-@given('the store sends {rate:d} bytes a second')
-@when('the store sends {rate:d} bytes a second')
+@given('the store sends {rate:d} bytes per second')
+@when('the store sends {rate:d} bytes per second')
 def store_rate(context, rate):
     context.store.store.faults.bytes_per_s = rate
 
 
-@given('a store that holds {count:d} routes and sends {rate:d} bytes a second')
+@given(
+    'a store that holds {count:d} routes and sends {rate:d} bytes per second'
+)
 def slow_store(context, count, rate):
     start_store(context)
     write_many_routes(context, count)
@@ -101,7 +103,7 @@
     return StoreFeed(store, kind, read, record_problems)
 
 
-@when('{share} of a list of them arrives')
+@when('{share} of the list of routes arrives')
 def list_arrives(context, share):
     share_arrives(context, share)
 
@@ -127,8 +129,8 @@
     assert first <= context.duration_ms <= last, context.duration_ms
 
 
-@then('its age is what its transfer took, and so old is what is known of '
-      'routes')  # fmt: skip
+@then('its age is the duration of its transfer, and routes are confirmed as '
+      'of its start')  # fmt: skip
 def list_age(context):
     age_ms = context.listing.age_ms
     assert 0.7 * context.duration_ms < age_ms <= context.duration_ms, age_ms
@@ -145,15 +147,15 @@
     start_balancer(context, domain)
 
 
-@then('it asked for each list once, and never lost the store')
-def asked_once(context):
+@then('it requested each list once, and never lost the store')
+def requested_once(context):
     kinds = {kind for kind, _read in SOURCES.values()}
     assert context.store.store.listed == dict.fromkeys(kinds, 1)
     assert not context.balancer.events('store_lost')
     assert not context.balancer.events('first_list_failed')
 
 
-@when('a balancer takes turns until its list of routes has begun to arrive')
+@when('a balancer iterates until its list of routes has begun to arrive')
 def list_begins(context):
     begin_startup(context)
     first = context.serving._lists[ROUTES]
@@ -165,14 +167,14 @@
     assert not context.startup.path.state.is_complete
 
 
-@when('its lists are handed over to the event loop')
+@when('its lists are passed to the event loop')
 def release_lists(context):
     context.serving.release_pending_lists()
     assert ROUTES in context.startup.pending_lists
 
 
 class Listener:
-    """Keeps what a feed posts."""
+    """Records the messages that a feed posts."""
 
     name = 'listener'
 
@@ -180,12 +182,12 @@
         self.posted = []
 
     def post(self, message):
-        """Keep a message."""
+        """Record a message."""
         self.posted.append(message)
 
 
 async def follow_routes(context, is_done):
-    """Run the feed of routes until something holds."""
+    """Run the feed of routes until a condition is true."""
     kernel = Kernel(Clock())
     listener = Listener()
     kernel.register(listener)
@@ -211,20 +213,20 @@
 
 
 def routes_posted(listener):
-    """Return the routes that a feed has posted."""
+    """Return the number of routes that a feed has posted."""
     for posted in listener.posted:
-        news = getattr(posted, 'update', None)
-        if isinstance(news, Listing):
-            return len(news.items[0].routes)
+        update = getattr(posted, 'update', None)
+        if isinstance(update, Listing):
+            return len(update.items[0].routes)
     return 0
 
 
-@when('answers arrive whole once the store is said to be lost')
+@when('answers arrive whole after the store is reported lost')
 def whole_after_loss(context):
     context.heal = True
 
 
-@then('the loop gets all {count:d} routes')
+@then('the event loop receives all {count:d} routes')
 def loop_receives(context, count):
     def is_done(service, listener):
         if service.state.failures:
@@ -235,61 +237,62 @@
     assert routes_posted(listener) == count
 
 
-@then('the loop gets all {count:d} routes, and no list was asked for twice')
+@then('the event loop receives all {count:d} routes, and no list was '
+      'requested twice')  # fmt: skip
 def loop_receives_once(context, count):
     loop_receives(context, count)
     assert context.store.store.listed['config'] == 1
 
 
 class SlowFeed:
-    """A feed whose calls end when a step says so."""
+    """A feed whose list ends when a step sets ``may_finish``."""
 
     def __init__(self):
         self.calls = []
         self.may_finish = asyncio.Event()
 
     async def fetch(self, may_lag, timeout_ms):
-        """List, some time."""
+        """Return an empty list once ``may_finish`` is set."""
         self.calls.append('a list')
         await self.may_finish.wait()
         return Listing((), 12)
 
     async def watch(self, revision, wait_ms, timeout_ms):
-        """Watch for ever."""
+        """Wait without a change."""
         self.calls.append('a watch')
         await asyncio.sleep(TIMEOUT_S)
 
     def close(self):
-        """Drop nothing."""
+        """Do nothing."""
 
 
-@given('a feed whose first list is under way')
-def feed_under_way(context):
+@given('a feed whose first list is in progress')
+def feed_in_progress(context):
     context.messages = []
 
 
-@when('it is told to rest')
+@when('it is paused')
 def pause_feed(context):
     context.messages = [list_watch.Paused()]
 
 
-@when('it is told to rest, and a peer tells all')
+@when('it is paused, and a peer provides the list')
 def pause_and_provide_list(context):
     context.messages = [list_watch.Paused(), list_watch.ListKnown(10)]
 
 
-@when('a peer tells all')
+@when('a peer provides the list')
 def provide_list(context):
     context.messages = [list_watch.ListKnown(10)]
 
 
-@when('it is told to rest, and to read again')
+@when('it is paused and resumed')
 def pause_and_resume(context):
     context.messages = [list_watch.Paused(), list_watch.Resumed(None)]
 
 
 async def run_feed(context):
-    """Run a feed through the messages; return its calls and news."""
+    """Post the messages to a feed; return its calls and its posts."""
     kernel = Kernel(Clock())
     listener = Listener()
     kernel.register(listener)
@@ -307,7 +310,7 @@
     feed.may_finish.set()
     await asyncio.sleep(SETTLE_S)
     if service.state.revision == 10:
-        # The watch after a peer's knowledge waits for a while.
+        # The watch after a peer's list begins later.
         await asyncio.sleep(list_watch.RECHECK_MS / 1_000)
     task.cancel()
     await service.stop()
@@ -317,12 +320,12 @@
 @then('the list {outcome}, and its next call is {call}')
 def list_continues(context, outcome, call):
     calls, posted = asyncio.run(run_feed(context))
-    assert bool(posted) == (outcome == 'goes on'), posted
+    assert bool(posted) == (outcome == 'continues'), posted
     wanted = ['a list'] if call == 'none' else ['a list', call]
     assert calls == wanted, calls
 
 
-@given('a balancer that knows one target, and has just {transfer}')
+@given('a balancer with one target that has just {transfer}')
 def balancer_with_target(context, transfer):
     start_store(context)
     begin_startup(context)
@@ -334,9 +337,9 @@
     match transfer.split():
         case ['transferred', size, 'bytes']:
             path.record_transfer(int(size))
-        case ['got', 'routes', 'within', lasted, 'ms']:
-            news = Delta((), (), 12, 10, int(lasted))
-            service.handle(FeedUpdate(ROUTES, news))
+        case ['got', 'routes', 'within', duration_ms, 'ms']:
+            delta = Delta((), (), 12, 10, int(duration_ms))
+            service.handle(FeedUpdate(ROUTES, delta))
 
 
 @when('four probes of the target, sent {after:d} ms later, are {result}')
@@ -355,7 +358,7 @@
         path.handle_probe_result(sent, target_health.ProbeResult(result))
 
 
-@then('by its probes the target is {belief}')
-def target_health_is(context, belief):
+@then('by its probes the target is {health}')
+def target_health_is(context, health):
     is_dead = context.startup.path.state.health.is_dead('one')
-    assert is_dead == (belief == 'dead'), context.startup.path.pending_probes
+    assert is_dead == (health == 'dead'), context.startup.path.pending_probes
