--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -21,23 +21,23 @@
 
 from soak import run
 from soak.deployment import Size
-from soak.regressions import SEEDS
+from soak.regressions import REGRESSION_SEEDS
 
 # Fresh seeds are drawn from so many bits: none comes twice.
-FRESH_BITS = 32
+SEED_BITS = 32
 # A run takes 35 s, one with a hundred balancers two minutes.
-LIMIT_S = 300
+RUN_TIMEOUT_S = 300
 # The end of what a broken run wrote says why.
-CAUSE_CHARACTERS = 2_000
-BREACHES_SHOWN = 5
+MAX_STDERR_CHARACTERS = 2_000
+MAX_BREACHES_SHOWN = 5
 # What a shell reports of a program that SIGTERM has ended.
-STATUS_ENDED = 143
+SIGTERM_EXIT_STATUS = 143
 
 
 def play(seed: int, size: Size) -> int:
     """Play one seed in this process; print its outcome as a JSON line."""
     # A soak that is told to end still ends what it started.
-    signal.signal(signal.SIGTERM, lambda *_: sys.exit(STATUS_ENDED))
+    signal.signal(signal.SIGTERM, lambda *_: sys.exit(SIGTERM_EXIT_STATUS))
     directory = Path(tempfile.mkdtemp(prefix='liftmount-soak-'))
     outcome = asyncio.run(run.play(seed, size, directory))
     document = {
@@ -56,32 +56,32 @@
     return 1 if outcome.breaches else 0
 
 
-def play_apart(seed: int, size: Size) -> dict:
+def play_in_subprocess(seed: int, size: Size) -> dict:
     """Play one seed in a process of its own; return its outcome."""
     command = [sys.executable, '-m', 'soak', '--seed', str(seed)]
     command += ['--length-ms', str(size.length_ms)]
     command += ['--balancers', str(size.balancers)]
-    if size.target is not None:
-        command += ['--deployed', str(size.target)]
+    if size.bundle is not None:
+        command += ['--deployed', str(size.bundle)]
     try:
         done = subprocess.run(
-            command, capture_output=True, text=True, timeout=LIMIT_S
+            command, capture_output=True, text=True, timeout=RUN_TIMEOUT_S
         )
     except subprocess.TimeoutExpired as error:
-        return _broken(seed, repr(error))
+        return _make_failed_outcome(seed, repr(error))
     try:
         return json.loads(done.stdout.splitlines()[-1])
     except (ValueError, IndexError):
-        return _broken(seed, done.stderr[-CAUSE_CHARACTERS:])
+        return _make_failed_outcome(seed, done.stderr[-MAX_STDERR_CHARACTERS:])
 
 
-def _broken(seed, cause):
+def _make_failed_outcome(seed, cause):
     """Return the outcome of a run that told none itself."""
     breach = {'promise': 'the soak itself works', 'what': cause}
     return {'seed': seed, 'breaches': [breach], 'counts': {}}
 
 
-def report(outcome: dict) -> None:
+def print_outcome(outcome: dict) -> None:
     """Print a line on a seed, and more if it failed."""
     counts = outcome['counts']
     served = counts.get('served', 0)
@@ -94,7 +94,7 @@
         f'lag {outcome.get("lag_ms", 0)} ms',
         flush=True,
     )
-    for breach in outcome['breaches'][:BREACHES_SHOWN]:
+    for breach in outcome['breaches'][:MAX_BREACHES_SHOWN]:
         print(f'  {breach["promise"]}: {breach["what"]}', flush=True)
     if 'logs' in outcome:
         print(f'  logs: {outcome["logs"]}', flush=True)
@@ -128,20 +128,22 @@
     )
     parser.add_argument('--jobs', type=int, default=2)
     options = parser.parse_args()
-    target = options.deployed.resolve() if options.deployed else None
-    size = Size(options.length_ms, options.balancers, target)
+    bundle = options.deployed.resolve() if options.deployed else None
+    size = Size(options.length_ms, options.balancers, bundle)
     if options.seed is not None:
         return play(options.seed, size)
     if options.regressions:
-        seeds = list(SEEDS)
+        seeds = list(REGRESSION_SEEDS)
     elif options.first is not None:
         seeds = list(range(options.first, options.first + options.count))
     else:
-        seeds = [secrets.randbits(FRESH_BITS) for _ in range(options.count)]
+        seeds = [secrets.randbits(SEED_BITS) for _ in range(options.count)]
     failed = 0
     with ThreadPoolExecutor(options.jobs) as pool:
-        for outcome in pool.map(lambda seed: play_apart(seed, size), seeds):
-            report(outcome)
+        for outcome in pool.map(
+            lambda seed: play_in_subprocess(seed, size), seeds
+        ):
+            print_outcome(outcome)
             failed += bool(outcome['breaches'])
     print(f'{len(seeds) - failed} passed, {failed} failed')
     return 1 if failed else 0
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -15,17 +15,17 @@
 
 # When a client sends its opening again, and gives up, as the platform's
 # clients do.
-OPENING_COPIES_MS = (200, 600)
-OPENING_MS = 1_400
+OPENING_RESENDS_MS = (200, 600)
+OPENING_TIMEOUT_MS = 1_400
 # Deadline and retries of the requests of the larger sites.
 DEADLINE_MS = 3_000
-RETRIES = 2
+MAX_RETRIES = 2
 # Ports of a client host; one is used again after minutes at the earliest.
 FIRST_PORT = 10_000
 LAST_PORT = 60_000
 
 
-class Kind(Enum):
+class RequestKind(Enum):
     """Kinds of requests; a stream keeps its flow for many of them."""
 
     STREAM = 'stream'
@@ -37,7 +37,7 @@
 class Load:
     """One kind of request: its work, answer, and pause between two."""
 
-    kind: Kind
+    kind: RequestKind
     service: str
     work_ms: int
     answer_bytes: int
@@ -61,7 +61,7 @@
     route: Endpoint
     sequence: int
     tag: int = 0
-    end: transport.End | None = None
+    end: transport.FlowEnd | None = None
     opened: asyncio.Future | None = None
     answered: asyncio.Future | None = None
     buffer: bytes = b''
@@ -72,13 +72,15 @@
         self.opened = asyncio.get_running_loop().create_future()
         self._send_opening(0)
         waited_ms = 0
-        for copy, at_ms in enumerate((*OPENING_COPIES_MS, OPENING_MS), 1):
+        for copy, at_ms in enumerate(
+            (*OPENING_RESENDS_MS, OPENING_TIMEOUT_MS), 1
+        ):
             timeout = seconds(at_ms - waited_ms)
             waited_ms = at_ms
             await asyncio.wait({self.opened}, timeout=timeout)
             if self.opened.done():
                 return self.opened.result()
-            if at_ms != OPENING_MS:
+            if at_ms != OPENING_TIMEOUT_MS:
                 self._send_opening(copy)
         raise FlowError('no answer to the opening', False)
 
@@ -104,21 +106,21 @@
             raise FlowError('no answer until the deadline', True)
         return self.answered.result()
 
-    def take(self, packet: Packet) -> None:
+    def receive(self, packet: Packet) -> None:
         """Take a packet for this flow."""
         if packet.flags & transport.RST:
             self.fail('reset')
         elif self.end is None:
             if packet.flags & transport.SYN:
-                self._take_opening(packet)
+                self._receive_opening(packet)
         elif not packet.flags & transport.SYN:
-            self._take_data(packet)
+            self._receive_data(packet)
 
-    def _take_opening(self, packet):
+    def _receive_opening(self, packet):
         if self.opened.done():
             return
         self.tag = packet.tag
-        self.end = transport.End(
+        self.end = transport.FlowEnd(
             self._send,
             (self.sequence + 1) & transport.MASK,
             (packet.sequence + 1) & transport.MASK,
@@ -126,14 +128,14 @@
         self._send(transport.ACK, self.end.sequence, b'')
         self.opened.set_result(None)
 
-    def _take_data(self, packet):
+    def _receive_data(self, packet):
         self.tag = packet.tag
-        self.buffer += self.end.take(packet, self.host.clock.now_ms())
+        self.buffer += self.end.receive(packet, self.host.clock.now_ms())
         if b'\n' in self.buffer and self.answered is not None:
             line, _newline, self.buffer = self.buffer.partition(b'\n')
             if not self.answered.done():
                 self.answered.set_result(json.loads(line))
-        if self.end.was_closed:
+        if self.end.has_received_fin:
             self.end.close(self.host.clock.now_ms())
             self.fail('closed')
 
@@ -162,13 +164,13 @@
 class ClientHost:
     """The clients of one failure domain, at one IP number."""
 
-    def __init__(self, domain, address: Endpoint, world):
+    def __init__(self, domain, address: Endpoint, deployment):
         self.domain = domain
         self.address = address
-        self.clock = world.clock
-        self.routers = world.routers
-        self.witness = world.witness
-        self.random = world.random
+        self.clock = deployment.clock
+        self.routers = deployment.routers
+        self.checker = deployment.checker
+        self.random = deployment.random
         self.flows = {}
         self._udp = None
         self._next_port = FIRST_PORT
@@ -187,9 +189,9 @@
         if self._next_port > LAST_PORT:
             self._next_port = FIRST_PORT
         key = (
-            _number(self.address.ip),
+            _ip_to_int(self.address.ip),
             self._next_port,
-            _number(route.ip),
+            _ip_to_int(route.ip),
             route.port,
         )
         sequence = self.random.getrandbits(32)
@@ -208,12 +210,12 @@
         flow = self.flows.get(packet.destination[1])
         if flow is None:
             return
-        if packet.total == 0 and packet.flags & transport.RST:
-            self.witness.reset(flow.key, source[0])
+        if packet.checksum == 0 and packet.flags & transport.RST:
+            self.checker.record_reset(flow.key, source[0])
         elif not transport.is_unchanged(data):
-            self.witness.changed('a client', data)
+            self.checker.report_changed_packet('a client', data)
             return
-        flow.take(packet)
+        flow.receive(packet)
 
     def tick(self, now_ms: int) -> None:
         """Send again what is due."""
@@ -230,15 +232,15 @@
         )
 
 
-class User:
+class Client:
     """Asks for one kind of request again and again."""
 
-    def __init__(self, name, host, load: Load, route, witness):
+    def __init__(self, name, host, load: Load, route, checker):
         self.name = name
         self.host: ClientHost = host
         self.load = load
         self.route = route
-        self.witness = witness
+        self.checker = checker
         self._flow = None
         self._count = 0
 
@@ -247,35 +249,35 @@
         pause_ms = self.load.pause_ms
         await asyncio.sleep(seconds(self.host.random.uniform(0, pause_ms)))
         while True:
-            await self._ask()
+            await self._send_request()
             factor = self.host.random.uniform(0.6, 1.4)
             await asyncio.sleep(seconds(pause_ms * factor))
 
-    async def _ask(self):
+    async def _send_request(self):
         self._count += 1
         request = f'{self.name}-{self._count}'
         started_ms = self.host.clock.now_ms()
         until_ms = started_ms + DEADLINE_MS
         is_served = False
-        for attempt in range(RETRIES + 1):
+        for attempt in range(MAX_RETRIES + 1):
             left_ms = until_ms - self.host.clock.now_ms()
             if left_ms <= 0:
                 break
             try:
-                answer = await self._try(request, attempt, left_ms)
+                answer = await self._send_attempt(request, attempt, left_ms)
             except FlowError as error:
                 self._end_flow()
-                is_risky = self.load.kind is Kind.AT_MOST_ONCE
-                if is_risky and error.has_opened:
+                is_at_most_once = self.load.kind is RequestKind.AT_MOST_ONCE
+                if is_at_most_once and error.has_opened:
                     break
                 continue
             if answer['outcome'] == 'done':
                 is_served = True
                 break
         now_ms = self.host.clock.now_ms()
-        self.witness.asked(self.load, started_ms, now_ms, is_served)
+        self.checker.record_request(self.load, started_ms, now_ms, is_served)
 
-    async def _try(self, request, attempt, left_ms):
+    async def _send_attempt(self, request, attempt, left_ms):
         if self._flow is None or self._flow.failure is not None:
             self._flow = self.host.new_flow(self.route)
             await self._flow.open()
@@ -289,8 +291,8 @@
         data = json.dumps(document).encode() + b'\n'
         answer = await self._flow.request(data, left_ms)
         if answer['try'] != document['try']:
-            self.witness.mixed(document['try'], answer['try'])
-        if self.load.kind is not Kind.STREAM:
+            self.checker.report_wrong_answer(document['try'], answer['try'])
+        if self.load.kind is not RequestKind.STREAM:
             self._end_flow()
         return answer
 
@@ -300,5 +302,5 @@
         self._flow = None
 
 
-def _number(ip):
+def _ip_to_int(ip):
     return int.from_bytes(bytes(map(int, ip.split('.'))), 'big')
--- a/soak/deployment.py
+++ b/soak/deployment.py
@@ -14,14 +14,14 @@
 from liftmount._internal.models.addresses import Endpoint
 from soak import clients
 from soak import promises
-from soak.clients import Kind
 from soak.clients import Load
+from soak.clients import RequestKind
 from soak.processes import Balancer
 from soak.proxy import Proxy
+from soak.routers import RoutedBalancer
 from soak.routers import Routers
-from soak.routers import Way
-from soak.targets import State
 from soak.targets import Target
+from soak.targets import TargetState
 from stand_ins.addresses import make_run_addresses
 from stand_ins.store import Store
 
@@ -30,9 +30,9 @@
 TILES = 'tiles'
 TARGETS_PER_DOMAIN = {GUIDE: 2, TILES: 1}
 LOADS = (
-    (5, Load(Kind.STREAM, GUIDE, 30, 3_000, 250)),
-    (5, Load(Kind.AT_MOST_ONCE, GUIDE, 40, 400, 400)),
-    (2, Load(Kind.DOWNLOAD, TILES, 8, 20_000, 500)),
+    (5, Load(RequestKind.STREAM, GUIDE, 30, 3_000, 250)),
+    (5, Load(RequestKind.AT_MOST_ONCE, GUIDE, 40, 400, 400)),
+    (2, Load(RequestKind.DOWNLOAD, TILES, 8, 20_000, 500)),
 )
 BALANCER_GROUP = 1
 TARGET_GROUP = 20
@@ -42,10 +42,10 @@
 STORE_PROXY_GROUP = 41
 ROUTE_GROUP = 200
 PACKETS, READY, PEER, STORE, TARGET, ROUTE = range(6)
-SEEDS = 3
-TICK_MS = 20
-READY_MS = 15_000
-STEP_MS = 50
+SEED_COUNT = 3
+TICK_INTERVAL_MS = 20
+READY_TIMEOUT_MS = 15_000
+POLL_INTERVAL_MS = 50
 
 
 @frozen
@@ -67,11 +67,11 @@
 
     length_ms: int = 20_000
     balancers: int = 4
-    target: Path | None = None
+    bundle: Path | None = None
 
 
 @define(eq=False)
-class Place:
+class TargetHost:
     """An address for targets, the proxy before it, and who is there."""
 
     proxy: Proxy
@@ -87,23 +87,23 @@
         self.directory = directory
         self.clock = Clock()
         self.random = random.Random(seed)
-        self.touch = promises.Touch()
-        self.witness = promises.Witness(self.clock, self.touch)
+        self.disturbances = promises.Disturbances()
+        self.checker = promises.PromiseChecker(self.clock, self.disturbances)
         self.addresses = make_run_addresses()
         self.client_port = self._port(PACKETS)
         self.store = Store()
-        self.places = []
+        self.target_hosts = []
         self.store_proxies = []
         self.balancers = []
         self.routers = None
         self.version = 1
-        self.troubles = 0
+        self.active_troubles = 0
         self.routes = {}
         self.added_routes = []
         self.lag_ms = 0
-        self.hosts = []
+        self.client_hosts = []
         self._tasks = set()
-        self._numbers = 0x1000
+        self._last_target_number = 0x1000
         self._runner = None
 
     def _port(self, offset):
@@ -120,7 +120,7 @@
         for domain in DOMAINS:
             for service, count in TARGETS_PER_DOMAIN.items():
                 for _ in range(count):
-                    await self.new_place(service, domain)
+                    await self.add_target_host(service, domain)
         self.add_route(GUIDE)
         self.add_route(TILES)
         await self.write_configuration()
@@ -146,38 +146,40 @@
             await proxy.start(with_udp=False)
             self.store_proxies.append(proxy)
 
-    async def new_place(self, service: str, domain: str) -> None:
+    async def add_target_host(self, service: str, domain: str) -> None:
         """Start a target at an address of its own."""
-        host = len(self.places) + 1
+        host = len(self.target_hosts) + 1
         listen = self._endpoint(TARGET_GROUP, host, TARGET)
         address = self._endpoint(TARGET_PROXY_GROUP, host, TARGET)
         proxy = Proxy(address, listen)
         await proxy.start(with_udp=True)
-        place = Place(proxy, domain, None)
-        self.places.append(place)
-        await self.new_target(place, service)
+        target_host = TargetHost(proxy, domain, None)
+        self.target_hosts.append(target_host)
+        await self.new_target(target_host, service)
 
-    async def new_target(self, place: Place, service: str) -> None:
+    async def new_target(self, target_host: TargetHost, service: str) -> None:
         """Start a target at an address."""
-        self._numbers += 1
-        await self._start_target(place, self._numbers, service)
+        self._last_target_number += 1
+        await self._start_target(
+            target_host, self._last_target_number, service
+        )
 
-    async def start_again(self, place: Place) -> None:
+    async def restart_target(self, target_host: TargetHost) -> None:
         """Start a target that has ended, under the name that it had."""
-        ended = place.target
-        await self._start_target(place, ended.number, ended.service)
+        ended = target_host.target
+        await self._start_target(target_host, ended.number, ended.service)
 
-    async def _start_target(self, place, number, service):
-        place.target = Target(
+    async def _start_target(self, target_host, number, service):
+        target_host.target = Target(
             number,
             service,
-            place.domain,
-            place.proxy.forward,
-            place.proxy.listen,
+            target_host.domain,
+            target_host.proxy.forward,
+            target_host.proxy.listen,
             self,
         )
-        await place.target.start()
-        await self.write_entry(place.target)
+        await target_host.target.start()
+        await self.write_entry(target_host.target)
 
     def _make_balancers(self):
         ports = Ports(*map(self._port, (PACKETS, READY, PEER)))
@@ -190,50 +192,54 @@
                 domain,
                 ip,
                 ports,
-                ips[:SEEDS],
+                ips[:SEED_COUNT],
                 self.store_proxies[index].listen,
                 self.directory,
-                self.size.target,
+                self.size.bundle,
             )
             self.balancers.append(balancer)
-            self.witness.balancer_names[ip] = balancer.name
+            self.checker.balancer_names[ip] = balancer.name
         self.routers = Routers(
             [
-                Way(one.name, one.domain, one.packets, one.ready)
+                RoutedBalancer(one.name, one.domain, one.packets, one.ready)
                 for one in self.balancers
             ]
         )
 
     async def _wait_ready(self):
-        until_ms = self.clock.now_ms() + READY_MS
-        while not all(way.is_in for way in self.routers.ways):
+        until_ms = self.clock.now_ms() + READY_TIMEOUT_MS
+        while not all(
+            balancer.is_healthy for balancer in self.routers.balancers
+        ):
             if self.clock.now_ms() > until_ms:
                 raise TimeoutError('balancers did not become ready')
-            await asyncio.sleep(seconds(STEP_MS))
+            await asyncio.sleep(seconds(POLL_INTERVAL_MS))
 
     async def _start_clients(self):
         for number, domain in enumerate(DOMAINS, 1):
             address = self._endpoint(CLIENT_GROUP, number, PACKETS)
             host = clients.ClientHost(domain, address, self)
             await host.start()
-            self.hosts.append(host)
+            self.client_hosts.append(host)
             for count, load in LOADS:
                 route = self._route_of(load.service)
                 for index in range(count):
                     name = f'{domain}-{load.kind.name}-{index}'
-                    user = clients.User(name, host, load, route, self.witness)
-                    self.spawn(user.run())
+                    client = clients.Client(
+                        name, host, load, route, self.checker
+                    )
+                    self.spawn(client.run())
 
     def spawn(self, coroutine) -> None:
         """Run something until the end of the run."""
         task = asyncio.create_task(coroutine)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
 
-    def _ended(self, task):
+    def _on_task_done(self, task):
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            self.witness.breach(
+            self.checker.report_breach(
                 'the soak itself works', repr(task.exception())
             )
 
@@ -244,12 +250,12 @@
         for balancer in self.balancers:
             balancer.send(signal.SIGCONT)
             await balancer.kill()
-        for host in self.hosts:
+        for host in self.client_hosts:
             host.close()
-        for place in self.places:
-            if place.target.state is not State.ENDED:
-                place.target.end()
-            place.proxy.close()
+        for target_host in self.target_hosts:
+            if target_host.target.state is not TargetState.ENDED:
+                target_host.target.end()
+            target_host.proxy.close()
         for proxy in self.store_proxies:
             proxy.close()
         if self._runner is not None:
@@ -260,41 +266,41 @@
         while True:
             now_ms = self.clock.now_ms()
             self.lag_ms = max(self.lag_ms, now_ms - due_ms)
-            for host in self.hosts:
+            for host in self.client_hosts:
                 host.tick(now_ms)
-            for place in self.places:
-                if place.target is not None:
-                    place.target.tick(now_ms)
+            for target_host in self.target_hosts:
+                if target_host.target is not None:
+                    target_host.target.tick(now_ms)
             self._check_processes()
-            due_ms = now_ms + TICK_MS
-            await asyncio.sleep(seconds(TICK_MS))
+            due_ms = now_ms + TICK_INTERVAL_MS
+            await asyncio.sleep(seconds(TICK_INTERVAL_MS))
 
     def _check_processes(self):
         for balancer in self.balancers:
             if balancer.process is None or balancer.is_running:
                 continue
-            if not balancer.is_expected:
-                balancer.is_expected = True
-                self.witness.breach(
+            if not balancer.is_exit_expected:
+                balancer.is_exit_expected = True
+                self.checker.report_breach(
                     'no process ends by itself',
                     f'{balancer.name}: status {balancer.process.returncode}',
                 )
 
     # What operator and targets write to the store.
 
-    async def _when_store_answers(self):
+    async def _wait_for_store(self):
         while self.store.trouble:
-            await asyncio.sleep(seconds(STEP_MS))
+            await asyncio.sleep(seconds(POLL_INTERVAL_MS))
 
     async def write_entry(self, target) -> None:
         """Write the entry of a target that lives."""
-        await self._when_store_answers()
-        if target.state is not State.ENDED:
+        await self._wait_for_store()
+        if target.state is not TargetState.ENDED:
             await self.store.write('servers', target.name, target.entry())
 
     async def remove_entry(self, target) -> None:
         """Remove the entry of a target."""
-        await self._when_store_answers()
+        await self._wait_for_store()
         if ('servers', target.name) in self.store.objects:
             await self.store.remove('servers', target.name)
 
@@ -304,7 +310,7 @@
         route = self._endpoint(ROUTE_GROUP, host, ROUTE)
         self.routes[route] = service
         number = int.from_bytes(bytes(map(int, route.ip.split('.'))), 'big')
-        allowed = self.witness.route_services.setdefault(
+        allowed = self.checker.route_services.setdefault(
             (number, route.port), set()
         )
         allowed.add(service)
@@ -315,7 +321,7 @@
 
     async def write_configuration(self) -> None:
         """Write the routes as a new version, once the store answers."""
-        await self._when_store_answers()
+        await self._wait_for_store()
         # Versions rise in the order in which they are written.
         self.version += self.random.randint(1, 4)
         document = {
--- a/soak/strikes.py
+++ b/soak/fault_injection.py
@@ -8,135 +8,145 @@
 from soak import promises
 from soak.deployment import Deployment
 from soak.deployment import GUIDE
-from soak.deployment import STEP_MS
+from soak.deployment import POLL_INTERVAL_MS
 from soak.deployment import TILES
 from soak.proxy import Harm
-from soak.targets import State
+from soak.targets import TargetState
 
 # An entry goes after three heartbeats of silence.
-LAPSE_MS = 2_300
+ENTRY_EXPIRY_MS = 2_300
 # Entries that lapsed with the store are back this long after its return.
-BACK_MS = 1_000
+ENTRY_RETURN_MS = 1_000
 # How long an address rests before another service may get it.
-REUSE_MS = 2_000
+ADDRESS_REUSE_MS = 2_000
 # Numbers that no target of a run gets.
 FOREIGN_NUMBER = 0xF0000
 
 
-async def strike(run: Deployment, fault: faults.Fault) -> None:
+async def inject(run: Deployment, fault: faults.Fault) -> None:
     """Bring a fault about, and its end."""
     match fault:
         case faults.BalancerFault():
-            await _strike_balancer(run, run.balancers[fault.balancer], fault)
+            await _inject_balancer_fault(
+                run, run.balancers[fault.balancer], fault
+            )
         case faults.TargetFault():
-            await _strike_target(run, _live_place(run, fault.target), fault)
+            await _inject_target_fault(
+                run, _pick_live_host(run, fault.target), fault
+            )
         case faults.AllKilled():
             chosen = [
-                _kill(run, one, fault.down_ms)
+                _kill_balancer(run, one, fault.down_ms)
                 for one in run.balancers
                 if fault.domain in ('', one.domain)
             ]
             await asyncio.gather(*chosen)
         case faults.StoreTroubled():
-            await _trouble(run, fault.trouble, fault.for_ms)
+            await _fail_store(run, fault.trouble, fault.for_ms)
         case faults.HistoryForgotten():
             run.store.forget()
         case faults.EntriesLapsed():
-            await _lapse(run, fault)
+            await _expire_entries(run, fault)
         case faults.RoutesChanged():
             await _change_routes(run, fault)
         case faults.DomainEvacuated():
-            await _evacuate(run, fault)
+            await _evacuate_domain(run, fault)
         case faults.ForeignEntry():
-            await _write_foreign(run, fault)
+            await _write_foreign_entry(run, fault)
 
 
-async def _strike_balancer(run, balancer, fault):
+async def _inject_balancer_fault(run, balancer, fault):
     match fault:
         case faults.BalancerKilled():
-            await _kill(run, balancer, fault.down_ms)
+            await _kill_balancer(run, balancer, fault.down_ms)
         case faults.BalancerStopped():
-            await _term(run, balancer, fault)
+            await _stop_balancer(run, balancer, fault)
         case faults.BalancerPaused():
-            await _pause(run, balancer, fault)
+            await _pause_balancer(run, balancer, fault)
         case faults.SettingsChanged():
             _change_settings(run, balancer, fault)
         case faults.StoreLinkHarmed():
             proxy = run.store_proxies[fault.balancer]
-            await _harm(run, proxy, balancer.name, fault)
+            await _harm_link(run, proxy, balancer.name, fault)
 
 
-async def _strike_target(run, place, fault):
+async def _inject_target_fault(run, target_host, fault):
     match fault:
         case faults.TargetLinkHarmed():
-            await _harm(run, place.proxy, place.target.name, fault)
+            await _harm_link(
+                run, target_host.proxy, target_host.target.name, fault
+            )
         case faults.TargetCrashed():
-            await _crash(run, place, fault)
+            await _crash_target(run, target_host, fault)
         case faults.TargetReplaced():
-            await _replace(run, place, fault)
+            await _replace_target(run, target_host, fault)
         case faults.TargetSlowed():
-            await _slow(run, place, fault)
+            await _slow_target(run, target_host, fault)
         case faults.TargetRestarted():
-            await _restart(run, place, fault)
+            await _restart_target(run, target_host, fault)
 
 
-def _live_place(run, index):
-    live = [one for one in run.places if one.target.state is State.READY]
+def _pick_live_host(run, index):
+    live = [
+        one
+        for one in run.target_hosts
+        if one.target.state is TargetState.READY
+    ]
     return live[index % len(live)]
 
 
-async def _disturb(run, name, for_ms):
+async def _wait_disturbed(run, name, for_ms):
     """Note a disturbance that begins now; wait for its end."""
-    run.touch.disturb(name, run.clock.now_ms() + for_ms)
+    run.disturbances.record(name, run.clock.now_ms() + for_ms)
     await asyncio.sleep(seconds(for_ms))
-    run.touch.disturb(name, run.clock.now_ms())
+    run.disturbances.record(name, run.clock.now_ms())
 
 
-async def _kill(run, balancer, down_ms):
+async def _kill_balancer(run, balancer, down_ms):
     await balancer.kill()
-    await _disturb(run, balancer.name, down_ms)
+    await _wait_disturbed(run, balancer.name, down_ms)
     await balancer.start()
 
 
-async def _term(run, balancer, fault):
-    if not balancer.is_running or balancer.is_expected:
+async def _stop_balancer(run, balancer, fault):
+    if not balancer.is_running or balancer.is_exit_expected:
         return
     process = balancer.process
     # An interpreter that has not begun to run the balancer serves nobody,
     # and ends as the signal has it.
     allowed = {0, -signal.SIGKILL}
-    if not balancer.has_begun():
+    if not balancer.handles_sigterm():
         allowed.add(-signal.SIGTERM)
     balancer.send(signal.SIGTERM)
     began_ms = run.clock.now_ms()
     while process.returncode is None:
-        run.touch.disturb(balancer.name, run.clock.now_ms())
-        await asyncio.sleep(seconds(STEP_MS))
-        lasts_ms = run.clock.now_ms() - began_ms
-        if lasts_ms > promises.GRACE_MS:
-            _late_stop(run, balancer, lasts_ms)
+        run.disturbances.record(balancer.name, run.clock.now_ms())
+        await asyncio.sleep(seconds(POLL_INTERVAL_MS))
+        elapsed_ms = run.clock.now_ms() - began_ms
+        if elapsed_ms > promises.GRACE_MS:
+            _report_late_stop(run, balancer, elapsed_ms)
             await balancer.kill()
     if process.returncode not in allowed:
         what = f'{balancer.name}: status {process.returncode}'
-        run.witness.breach('a planned stop ends well', what)
-    await _disturb(run, balancer.name, fault.down_ms)
+        run.checker.report_breach('a planned stop ends well', what)
+    await _wait_disturbed(run, balancer.name, fault.down_ms)
     await balancer.start()
 
 
-def _late_stop(run, balancer, lasts_ms):
+def _report_late_stop(run, balancer, elapsed_ms):
     # A process that is paused meanwhile cannot end.
-    if run.touch.until_ms.get(f'pause {balancer.name}', 0) <= (
-        run.clock.now_ms() - lasts_ms
+    if run.disturbances.until_ms.get(f'pause {balancer.name}', 0) <= (
+        run.clock.now_ms() - elapsed_ms
     ):
-        what = f'{balancer.name} was still there after {lasts_ms} ms'
-        run.witness.breach('a planned stop ends in time', what)
+        what = f'{balancer.name} was still there after {elapsed_ms} ms'
+        run.checker.report_breach('a planned stop ends in time', what)
 
 
-async def _pause(run, balancer, fault):
+async def _pause_balancer(run, balancer, fault):
     pause = f'pause {balancer.name}'
-    run.touch.disturb(pause, run.clock.now_ms() + fault.for_ms)
+    run.disturbances.record(pause, run.clock.now_ms() + fault.for_ms)
     balancer.send(signal.SIGSTOP)
-    await _disturb(run, balancer.name, fault.for_ms)
+    await _wait_disturbed(run, balancer.name, fault.for_ms)
     balancer.send(signal.SIGCONT)
 
 
@@ -151,83 +161,85 @@
     if not fault.is_good:
         # What is started next needs settings that hold.
         loop = asyncio.get_running_loop()
-        loop.call_later(seconds(STEP_MS), balancer.write_settings)
+        loop.call_later(seconds(POLL_INTERVAL_MS), balancer.write_settings)
 
 
-async def _harm(run, proxy, name, fault):
+async def _harm_link(run, proxy, name, fault):
     proxy.set_harm(fault.harm)
-    await _disturb(run, name, fault.for_ms)
+    await _wait_disturbed(run, name, fault.for_ms)
     proxy.set_harm(Harm.NONE)
 
 
-async def _trouble(run, trouble, for_ms):
-    run.troubles += 1
+async def _fail_store(run, trouble, for_ms):
+    run.active_troubles += 1
     run.store.trouble = trouble
-    await _disturb(run, 'store', for_ms)
-    run.troubles -= 1
-    if not run.troubles:
+    await _wait_disturbed(run, 'store', for_ms)
+    run.active_troubles -= 1
+    if not run.active_troubles:
         run.store.trouble = ''
 
 
-async def _lapse(run, fault):
-    lapsed = [one.target for one in run.places[::2]]
-    for target in lapsed:
+async def _expire_entries(run, fault):
+    expired = [one.target for one in run.target_hosts[::2]]
+    for target in expired:
         if ('servers', target.name) in run.store.objects:
             await run.store.remove('servers', target.name)
-    await _trouble(run, 'answers 503', fault.for_ms)
+    await _fail_store(run, 'answers 503', fault.for_ms)
     # Back within about two seconds of the store's return.
-    await asyncio.sleep(seconds(BACK_MS))
-    for target in lapsed:
-        if target.name not in run.witness.leaving_ms:
+    await asyncio.sleep(seconds(ENTRY_RETURN_MS))
+    for target in expired:
+        if target.name not in run.checker.leaving_ms:
             await run.write_entry(target)
 
 
-async def _crash(run, place, fault):
-    target = place.target
-    run.touch.disturb(target.name, float('inf'))
+async def _crash_target(run, target_host, fault):
+    target = target_host.target
+    run.disturbances.record(target.name, float('inf'))
     target.end()
-    await asyncio.sleep(seconds(LAPSE_MS))
+    await asyncio.sleep(seconds(ENTRY_EXPIRY_MS))
     await run.remove_entry(target)
-    rest_ms = max(REUSE_MS if fault.is_reused else 0, fault.down_ms)
-    await asyncio.sleep(seconds(max(0, rest_ms - LAPSE_MS)))
+    reuse_wait_ms = max(
+        ADDRESS_REUSE_MS if fault.is_reused else 0, fault.down_ms
+    )
+    await asyncio.sleep(seconds(max(0, reuse_wait_ms - ENTRY_EXPIRY_MS)))
     service = target.service
     if fault.is_reused:
         service = TILES if service == GUIDE else GUIDE
         # The service must not run out of targets.
-        await run.new_place(target.service, place.domain)
-    await run.new_target(place, service)
+        await run.add_target_host(target.service, target_host.domain)
+    await run.new_target(target_host, service)
 
 
-async def _replace(run, place, fault):
-    target = place.target
-    target.state = State.DRAINING
-    await run.new_place(target.service, place.domain)
+async def _replace_target(run, target_host, fault):
+    target = target_host.target
+    target.state = TargetState.DRAINING
+    await run.add_target_host(target.service, target_host.domain)
     if fault.is_silent:
         await run.remove_entry(target)
     else:
         await run.write_entry(target)
-    run.witness.leaving_ms[target.name] = run.clock.now_ms()
+    run.checker.leaving_ms[target.name] = run.clock.now_ms()
     await asyncio.sleep(seconds(promises.DRAIN_MS))
     # It takes no connections any more, and serves on.
     target.stop_listening()
     await asyncio.sleep(seconds(fault.linger_ms))
-    if target.state is not State.ENDED:
+    if target.state is not TargetState.ENDED:
         target.end()
         await run.remove_entry(target)
 
 
-async def _restart(run, place, fault):
-    target = place.target
-    run.touch.disturb(target.name, float('inf'))
+async def _restart_target(run, target_host, fault):
+    target = target_host.target
+    run.disturbances.record(target.name, float('inf'))
     target.end()
     await asyncio.sleep(seconds(fault.down_ms))
-    await run.start_again(place)
-    run.touch.disturb(target.name, run.clock.now_ms())
+    await run.restart_target(target_host)
+    run.disturbances.record(target.name, run.clock.now_ms())
 
 
-async def _write_foreign(run, fault):
+async def _write_foreign_entry(run, fault):
     """Write an entry that names no target, and nobody's but its own."""
-    good = run.places[0].target.entry()
+    good = run.target_hosts[0].target.entry()
     forms = (
         {},
         {**good, 'state': 'retired'},
@@ -238,20 +250,20 @@
     await run.store.write('servers', name, forms[fault.form])
 
 
-async def _slow(run, place, fault):
-    target = place.target
+async def _slow_target(run, target_host, fault):
+    target = target_host.target
     target.factor = fault.factor
-    await _disturb(run, target.name, fault.for_ms)
+    await _wait_disturbed(run, target.name, fault.for_ms)
     target.factor = 1.0
 
 
-async def _evacuate(run, fault):
+async def _evacuate_domain(run, fault):
     if ('evacuations', fault.domain) in run.store.objects:
         return
     await run.store.write('evacuations', fault.domain, {})
-    run.witness.evacuated_ms[fault.domain] = run.clock.now_ms()
+    run.checker.evacuated_ms[fault.domain] = run.clock.now_ms()
     await asyncio.sleep(seconds(fault.for_ms))
-    del run.witness.evacuated_ms[fault.domain]
+    del run.checker.evacuated_ms[fault.domain]
     await run.store.remove('evacuations', fault.domain)
 
 
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -12,21 +12,21 @@
 FIRST_FAULT_MS = 3_000
 # Bounds of how long a fault lasts: shorter than the contact time of the
 # rules (4 s) as well as longer.
-SHORTEST_MS = 600
-LONGEST_MS = 5_000
+MIN_FAULT_MS = 600
+MAX_FAULT_MS = 5_000
 # Parts of all faults that come in series of two or three.
 SERIES_SHARE = 0.25
 SERIES_GAP_MS = 900
 # Evacuations of a seed, and how long each lasts: longer than its bound.
-MOST_EVACUATIONS = 2
-EVACUATED_MS = (4_000, 9_000)
+MAX_EVACUATIONS = 2
+EVACUATION_RANGE_MS = (4_000, 9_000)
 # Restarts of targets of a seed, and how long each takes.
-MOST_RESTARTS = 3
-RESTARTED_MS = (300, 2_000)
+MAX_RESTARTS = 3
+RESTART_RANGE_MS = (300, 2_000)
 # Forms that a foreign entry may have, see strikes.py.
-FORMS = 4
+FOREIGN_ENTRY_FORMS = 4
 # How much longer than it must a target that leaves serves on.
-LINGERS_MS = (1_500, 4_000, 7_000)
+LINGER_CHOICES_MS = (1_500, 4_000, 7_000)
 
 
 @frozen
@@ -183,13 +183,13 @@
     for_ms: int
 
 
-def _harm(draw):
+def _draw_harm(draw):
     return draw.choice(list(Harm)[1:])
 
 
-def _fault(draw, at_ms, balancers, targets):
+def _draw_fault(draw, at_ms, balancers, targets):
     """Draw one fault; what is worse comes more seldom."""
-    for_ms = draw.randint(SHORTEST_MS, LONGEST_MS)
+    for_ms = draw.randint(MIN_FAULT_MS, MAX_FAULT_MS)
     balancer = draw.randrange(balancers)
     target = draw.randrange(targets)
     makers = {
@@ -203,7 +203,7 @@
             at_ms, draw.choice((*DOMAINS, '')), for_ms // 3
         ),
         'store link': lambda: StoreLinkHarmed(
-            at_ms, balancer, _harm(draw), for_ms
+            at_ms, balancer, _draw_harm(draw), for_ms
         ),
         'store': lambda: StoreTroubled(
             at_ms,
@@ -223,13 +223,13 @@
         'history': lambda: HistoryForgotten(at_ms),
         'lapse': lambda: EntriesLapsed(at_ms, for_ms),
         'target link': lambda: TargetLinkHarmed(
-            at_ms, target, _harm(draw), for_ms
+            at_ms, target, _draw_harm(draw), for_ms
         ),
         'crash': lambda: TargetCrashed(
             at_ms, target, for_ms, draw.random() < 0.4
         ),
         'replace': lambda: TargetReplaced(
-            at_ms, target, draw.random() < 0.4, LINGERS_MS[at_ms % 3]
+            at_ms, target, draw.random() < 0.4, LINGER_CHOICES_MS[at_ms % 3]
         ),
         'slow': lambda: TargetSlowed(
             at_ms, target, draw.uniform(2.0, 6.0), for_ms
@@ -252,7 +252,7 @@
     count = max(1, (length_ms - FIRST_FAULT_MS) // 1_500)
     while len(faults) < count:
         at_ms = draw.randint(FIRST_FAULT_MS, length_ms)
-        fault = _fault(draw, at_ms, balancers, targets)
+        fault = _draw_fault(draw, at_ms, balancers, targets)
         faults.append(fault)
         if draw.random() < SERIES_SHARE:
             for step in range(1, draw.randint(2, 3)):
@@ -261,7 +261,7 @@
     return sorted(faults, key=lambda fault: fault.at_ms)
 
 
-def draw_oddities(seed: int, length_ms: int, targets: int) -> list[Fault]:
+def draw_extra_faults(seed: int, length_ms: int, targets: int) -> list[Fault]:
     """Return restarts and foreign entries of a seed, beside its faults."""
     draw = random.Random(f'oddities of {seed}')
 
@@ -270,12 +270,13 @@
 
     restarts = [
         TargetRestarted(
-            at_ms(), draw.randrange(targets), draw.randint(*RESTARTED_MS)
+            at_ms(), draw.randrange(targets), draw.randint(*RESTART_RANGE_MS)
         )
-        for _ in range(draw.randint(1, MOST_RESTARTS))
+        for _ in range(draw.randint(1, MAX_RESTARTS))
     ]
     foreign = [
-        ForeignEntry(at_ms(), draw.randrange(FORMS)) for _ in range(FORMS)
+        ForeignEntry(at_ms(), draw.randrange(FOREIGN_ENTRY_FORMS))
+        for _ in range(FOREIGN_ENTRY_FORMS)
     ]
     return [*restarts, *foreign]
 
@@ -287,7 +288,7 @@
         DomainEvacuated(
             draw.randint(FIRST_FAULT_MS, length_ms),
             draw.choice(DOMAINS),
-            draw.randint(*EVACUATED_MS),
+            draw.randint(*EVACUATION_RANGE_MS),
         )
-        for _ in range(draw.randint(1, MOST_EVACUATIONS))
+        for _ in range(draw.randint(1, MAX_EVACUATIONS))
     ]
--- a/soak/processes.py
+++ b/soak/processes.py
@@ -18,10 +18,10 @@
     """One balancer: its settings, its process, and its log."""
 
     def __init__(
-        self, name, domain, ip, ports, seeds, store, directory, target
+        self, name, domain, ip, ports, seeds, store, directory, bundle
     ):
         self.name = name
-        self._target = target
+        self._bundle = bundle
         self.domain = domain
         self.ip = ip
         self.packets = Endpoint(ip, ports.packets)
@@ -30,7 +30,7 @@
         self.directory.mkdir()
         self.log_path = self.directory / 'log'
         self.process = None
-        self.is_expected = False
+        self.is_exit_expected = False
         self._starting = asyncio.Lock()
         self.settings = {
             'node_name': name,
@@ -65,15 +65,15 @@
 
     def _command(self):
         """Return the program and its arguments, in the form to be tried."""
-        if self._target is None:
+        if self._bundle is None:
             return [sys.executable, '-m', 'liftmount.platform']
-        launcher = self._target / PROGRAM / 'liftmount/platform/launcher.py'
+        launcher = self._bundle / PROGRAM / 'liftmount/platform/launcher.py'
         return [sys.executable, '-S', '-P', launcher, str(self.packets)]
 
     def _environment(self):
         environment = dict(os.environ, LIFTMOUNT_CONFIG=str(self.path))
-        if self._target is not None:
-            environment['PYTHONPATH'] = str(self._target / DEPENDENCIES)
+        if self._bundle is not None:
+            environment['PYTHONPATH'] = str(self._bundle / DEPENDENCIES)
         return environment
 
     async def _start(self):
@@ -84,14 +84,14 @@
                 stdout=log,
                 stderr=log,
             )
-        self.is_expected = False
+        self.is_exit_expected = False
 
     @property
     def is_running(self) -> bool:
         """Tell whether its process is there."""
         return self.process is not None and self.process.returncode is None
 
-    def has_begun(self) -> bool:
+    def handles_sigterm(self) -> bool:
         """Tell whether its process runs the balancer, and handles signals."""
         try:
             text = Path(f'/proc/{self.process.pid}/status').read_text()
@@ -103,7 +103,7 @@
     def send(self, number: signal.Signals) -> None:
         """Send a signal to its process."""
         if number in (signal.SIGKILL, signal.SIGTERM):
-            self.is_expected = True
+            self.is_exit_expected = True
         if self.is_running:
             self.process.send_signal(number)
 
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -37,7 +37,7 @@
         self.harm = Harm.NONE
         self._server = None
         self._udp = None
-        self._open = set()
+        self._writers = set()
         self._tasks = set()
 
     async def start(self, with_udp: bool) -> None:
@@ -52,7 +52,7 @@
         """Change what is wrong; bytes that were lost stay lost."""
         self.harm = harm
         if harm is Harm.RESET:
-            for writer in list(self._open):
+            for writer in list(self._writers):
                 writer.transport.abort()
 
     def close(self) -> None:
@@ -77,29 +77,33 @@
     async def _on_connection(self, reader, writer):
         task = asyncio.current_task()
         self._tasks.add(task)
-        self._open.add(writer)
-        far = None
+        self._writers.add(writer)
+        upstream = None
         try:
             if self.harm is not Harm.RESET:
-                far_reader, far = await asyncio.open_connection(
+                upstream_reader, upstream = await asyncio.open_connection(
                     *self.forward.socket_address()
                 )
-                self._open.add(far)
-                await self._pump_both(reader, writer, far_reader, far)
+                self._writers.add(upstream)
+                await self._pump_both(
+                    reader, writer, upstream_reader, upstream
+                )
         except (OSError, asyncio.CancelledError):
             # Either end broke off; so does the other.
             pass
         finally:
             self._tasks.discard(task)
-            for one in (writer, far):
+            for one in (writer, upstream):
                 if one is not None:
-                    self._open.discard(one)
+                    self._writers.discard(one)
                     one.transport.abort()
 
-    async def _pump_both(self, reader, writer, far_reader, far):
+    async def _pump_both(self, reader, writer, upstream_reader, upstream):
         pumps = [
-            asyncio.create_task(self._pump(reader, far, is_back=False)),
-            asyncio.create_task(self._pump(far_reader, writer, is_back=True)),
+            asyncio.create_task(self._pump(reader, upstream, is_back=False)),
+            asyncio.create_task(
+                self._pump(upstream_reader, writer, is_back=True)
+            ),
         ]
         try:
             await asyncio.wait(pumps, return_when=asyncio.FIRST_COMPLETED)
--- a/soak/regressions.py
+++ b/soak/regressions.py
@@ -1,6 +1,6 @@
 """Seeds that failed once, each with its cause; all are played again."""
 
-SEEDS: dict[int, str] = {
+REGRESSION_SEEDS: dict[int, str] = {
     103: 'the soak took the end of a former process for that of a new one',
     201: 'a member that took over all of a peer believed what it doubted',
     9103: 'a balancer got SIGTERM before it began to handle it',
--- a/soak/routers.py
+++ b/soak/routers.py
@@ -9,53 +9,56 @@
 from liftmount._internal.clock import seconds
 from liftmount._internal.models.addresses import Endpoint
 
-ASK_MS = 500
+CHECK_INTERVAL_MS = 500
 # Missed answers in a row before a balancer is out.
-MISSES = 2
-TIMEOUT_MS = 450
+UNHEALTHY_THRESHOLD = 2
+CHECK_TIMEOUT_MS = 450
 HTTP_OK = 200
 
 
 @define(eq=False)
-class Way:
+class RoutedBalancer:
     """A balancer as the routers see it."""
 
     name: str
     domain: str
     packets: Endpoint
     ready: Endpoint
-    misses: int = MISSES
+    failed_checks: int = UNHEALTHY_THRESHOLD
 
     @property
-    def is_in(self) -> bool:
+    def is_healthy(self) -> bool:
         """Tell whether it gets packets."""
-        return self.misses < MISSES
+        return self.failed_checks < UNHEALTHY_THRESHOLD
 
 
 class Routers:
     """Asks each balancer whether it is ready, and spreads flows."""
 
-    def __init__(self, ways: list[Way]):
-        self.ways = ways
+    def __init__(self, balancers: list[RoutedBalancer]):
+        self.balancers = balancers
 
     async def run(self) -> None:
         """Ask until cancelled."""
-        timeout = aiohttp.ClientTimeout(total=seconds(TIMEOUT_MS))
+        timeout = aiohttp.ClientTimeout(total=seconds(CHECK_TIMEOUT_MS))
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
-                asks = [self._ask(session, way) for way in self.ways]
-                pause = asyncio.sleep(seconds(ASK_MS))
-                await asyncio.gather(pause, *asks)
-
-    async def _ask(self, session, way):
-        url = f'http://{way.ready}/ready'
+                checks = [
+                    self._check(session, balancer)
+                    for balancer in self.balancers
+                ]
+                pause = asyncio.sleep(seconds(CHECK_INTERVAL_MS))
+                await asyncio.gather(pause, *checks)
+
+    async def _check(self, session, balancer):
+        url = f'http://{balancer.ready}/ready'
         try:
             async with session.get(url) as answer:
                 is_ready = answer.status == HTTP_OK
         except (aiohttp.ClientError, TimeoutError, OSError):
             # A balancer that doesn't answer is one that isn't ready.
             is_ready = False
-        way.misses = 0 if is_ready else way.misses + 1
+        balancer.failed_checks = 0 if is_ready else balancer.failed_checks + 1
 
     def pick(self, domain: str, key: tuple) -> Endpoint | None:
         """Return where a flow's packet goes, as ``steady`` hashing has it.
@@ -63,17 +66,25 @@
         With fewer than half of a domain's balancers in, all of them are
         used; with none in, those of other domains that are.
         """
-        near = [way for way in self.ways if way.domain == domain]
-        fit = [way for way in near if way.is_in]
-        if fit and 2 * len(fit) < len(near):
-            fit = near
-        if not fit:
-            fit = [way for way in self.ways if way.is_in]
-        if not fit:
+        local = [
+            balancer
+            for balancer in self.balancers
+            if balancer.domain == domain
+        ]
+        candidates = [balancer for balancer in local if balancer.is_healthy]
+        if candidates and 2 * len(candidates) < len(local):
+            candidates = local
+        if not candidates:
+            candidates = [
+                balancer for balancer in self.balancers if balancer.is_healthy
+            ]
+        if not candidates:
             return None
         data = repr(key).encode()
-        return max(fit, key=lambda way: crc32(data, _seed(way))).packets
+        return max(
+            candidates, key=lambda balancer: crc32(data, _hash_seed(balancer))
+        ).packets
 
 
-def _seed(way):
-    return crc32(way.name.encode())
+def _hash_seed(balancer):
+    return crc32(balancer.name.encode())
--- a/soak/targets.py
+++ b/soak/targets.py
@@ -19,12 +19,12 @@
 NUMBER_BYTES = 8
 # Requests at work and in the queue, as on the smallest site.
 SLOTS = 3
-QUEUE = 12
+MAX_QUEUED = 12
 # An end gives a flow up after this many resends without progress.
-MOST_RESENDS = 8
+MAX_RESENDS = 8
 
 
-class State(Enum):
+class TargetState(Enum):
     """The life of a target."""
 
     READY = 'ready'
@@ -37,7 +37,7 @@
     """A flow as its target holds it; open once the handshake is done."""
 
     key: tuple
-    end: transport.End
+    end: transport.FlowEnd
     tag: int
     is_open: bool = False
     has_ended: bool = False
@@ -49,25 +49,25 @@
 
     ``listen`` is where it takes packets, ``address`` what its entry says
     (a proxy in front of it), ``client_port`` where clients take theirs.
-    ``witness`` hears what happens (see ``promises.Witness``).
+    ``checker`` hears what happens (see ``promises.PromiseChecker``).
     """
 
-    def __init__(self, number, service, domain, listen, address, world):
+    def __init__(self, number, service, domain, listen, address, deployment):
         self.number = number
         self.name = f'i-{number:x}'
         self.service = service
         self.domain = domain
         self.listen: Endpoint = listen
         self.address: Endpoint = address
-        self.clock = world.clock
-        self.witness = world.witness
-        self.client_port = world.client_port
-        self.state = State.READY
+        self.clock = deployment.clock
+        self.checker = deployment.checker
+        self.client_port = deployment.client_port
+        self.state = TargetState.READY
         self.born_ms = self.clock.wall_ms()
         self.factor = 1.0
         self.flows = {}
         self.slots = asyncio.Semaphore(SLOTS)
-        self.taken = 0
+        self.pending = 0
         self._udp = None
         self._health = HttpServer(self._answer_health)
         self._tasks = set()
@@ -97,7 +97,7 @@
 
     def end(self) -> None:
         """End at once; its flows are forgotten."""
-        self.state = State.ENDED
+        self.state = TargetState.ENDED
         self.flows.clear()
         self._health.close()
         self._udp.close()
@@ -116,28 +116,28 @@
     # Packets.
 
     def _on_datagram(self, data, source):
-        meant = int.from_bytes(data[:NUMBER_BYTES], 'big')
-        if meant not in (0, self.number):
+        target_number = int.from_bytes(data[:NUMBER_BYTES], 'big')
+        if target_number not in (0, self.number):
             return
         datagram = data[NUMBER_BYTES:]
         if not transport.is_unchanged(datagram):
-            self.witness.changed(self.name, datagram)
+            self.checker.report_changed_packet(self.name, datagram)
             return
         packet = transport.decode(datagram)
         key = transport.flow_key(packet)
         flow = self.flows.get(key)
         if packet.flags & transport.SYN:
-            self._opening(packet, key, flow)
+            self._receive_opening(packet, key, flow)
         elif flow is None or flow.has_ended:
-            self._not_held(packet, key, flow)
+            self._answer_unknown_flow(packet, key, flow)
         else:
-            self._take(packet, flow)
+            self._receive(packet, flow)
 
-    def _opening(self, packet, key, flow):
+    def _receive_opening(self, packet, key, flow):
         if flow is None:
-            self.witness.opening(self, packet)
+            self.checker.record_opening(self, packet)
             flow = ServedFlow(key, None, packet.tag)
-            flow.end = transport.End(
+            flow.end = transport.FlowEnd(
                 lambda *what: self._send(flow, *what),
                 # Any number will do; it shows which target answered.
                 (self.number * 7_919 + packet.sequence) & transport.MASK,
@@ -149,7 +149,7 @@
             flags = transport.SYN | transport.ACK
             self._send(flow, flags, flow.end.sequence, b'')
 
-    def _take(self, packet, flow):
+    def _receive(self, packet, flow):
         flow.tag = packet.tag
         if not flow.is_open:
             expected = (flow.end.sequence + 1) & transport.MASK
@@ -158,17 +158,17 @@
                 return
             flow.is_open = True
             flow.end.sequence = expected
-            self.witness.opened(self, flow.key)
+            self.checker.record_open_flow(self, flow.key)
         if packet.flags & transport.RST:
             flow.has_ended = True
             return
-        flow.buffer += flow.end.take(packet, self.clock.now_ms())
+        flow.buffer += flow.end.receive(packet, self.clock.now_ms())
         self._serve(flow)
-        if flow.end.was_closed:
+        if flow.end.has_received_fin:
             flow.end.close(self.clock.now_ms())
             flow.has_ended = True
 
-    def _not_held(self, packet, key, flow):
+    def _answer_unknown_flow(self, packet, key, flow):
         """Answer for a flow that is not here, or not any more."""
         is_data = bool(packet.payload)
         if packet.flags & transport.RST or not (flow is None or is_data):
@@ -181,7 +181,7 @@
             packet.tag,
             transport.RST,
         )
-        self._udp.send(answer.encode(), (_ip(key[0]), self.client_port))
+        self._udp.send(answer.encode(), (_int_to_ip(key[0]), self.client_port))
 
     def _send(self, flow, flags, sequence, data):
         client = flow.key[:2]
@@ -194,7 +194,9 @@
             flags,
             data,
         )
-        self._udp.send(packet.encode(), (_ip(client[0]), self.client_port))
+        self._udp.send(
+            packet.encode(), (_int_to_ip(client[0]), self.client_port)
+        )
 
     # Requests.
 
@@ -207,18 +209,18 @@
             task.add_done_callback(self._tasks.discard)
 
     async def _work(self, flow, request):
-        if self.taken >= SLOTS + QUEUE:
+        if self.pending >= SLOTS + MAX_QUEUED:
             self._answer(flow, request, 'not run')
             return
-        self.taken += 1
+        self.pending += 1
         try:
             async with self.slots:
-                self.witness.ran(self, flow.key, request)
+                self.checker.record_run(self, flow.key, request)
                 await asyncio.sleep(seconds(request['work_ms'] * self.factor))
         finally:
-            self.taken -= 1
+            self.pending -= 1
         self._answer(flow, request, 'done')
-        if self.state is State.DRAINING:
+        if self.state is TargetState.DRAINING:
             flow.end.close(self.clock.now_ms())
 
     def _answer(self, flow, request, outcome):
@@ -230,11 +232,11 @@
     def tick(self, now_ms: int) -> None:
         """Send again what is due; forget flows that got no answer."""
         for key, flow in list(self.flows.items()):
-            if flow.end.resends > MOST_RESENDS:
+            if flow.end.resends > MAX_RESENDS:
                 del self.flows[key]
             else:
                 flow.end.tick(now_ms)
 
 
-def _ip(number):
+def _int_to_ip(number):
     return '.'.join(map(str, number.to_bytes(4, 'big')))
--- a/soak/transport.py
+++ b/soak/transport.py
@@ -19,15 +19,15 @@
 # Data of a packet, packets under way, and waits before they are sent
 # again, as the platform's clients and targets have them.
 DATA_BYTES = 1_200
-WINDOW = 16
+WINDOW_PACKETS = 16
 FIRST_RESEND_MS = 200
-LONGEST_RESEND_MS = 1_600
+MAX_RESEND_MS = 1_600
 MASK = 2**32 - 1
 # Where the sum of a head stands, where the tag, and the byte of no meaning.
-SUM = slice(26, 30)
+CHECKSUM = slice(26, 30)
 TAG = slice(22, 26)
-PAD = slice(31, 32)
-KEY = b'soak'
+PADDING = slice(31, 32)
+CHECKSUM_KEY = b'soak'
 
 
 @define
@@ -41,7 +41,7 @@
     tag: int
     flags: int
     payload: bytes = b''
-    total: int = 0
+    checksum: int = 0
 
     def encode(self) -> bytes:
         """Return the datagram, with its sum."""
@@ -57,15 +57,15 @@
             0,
         )
         data = head + self.payload
-        total = make_sum(data).to_bytes(4, 'little')
-        return data[: SUM.start] + total + data[SUM.stop :]
+        checksum = compute_checksum(data).to_bytes(4, 'little')
+        return data[: CHECKSUM.start] + checksum + data[CHECKSUM.stop :]
 
 
-def make_sum(datagram: bytes) -> int:
+def compute_checksum(datagram: bytes) -> int:
     """Return the sum over what nobody on the way may change."""
-    flags = datagram[SUM.stop : PAD.start]
-    body = datagram[: TAG.start] + flags + datagram[PAD.stop :]
-    return crc32(KEY + body) or 1
+    flags = datagram[CHECKSUM.stop : PADDING.start]
+    body = datagram[: TAG.start] + flags + datagram[PADDING.stop :]
+    return crc32(CHECKSUM_KEY + body) or 1
 
 
 def decode(datagram: bytes) -> Packet:
@@ -93,29 +93,29 @@
 
 def is_unchanged(datagram: bytes) -> bool:
     """Tell whether a packet is as its sender wrote it."""
-    return decode(datagram).total == make_sum(datagram)
+    return decode(datagram).checksum == compute_checksum(datagram)
 
 
-def _behind(one, other):
+def _precedes(one, other):
     """Tell whether sequence number ``one`` comes before ``other``."""
     return 0 < (other - one) & MASK < 2**31
 
 
 @define(eq=False)
-class End:
+class FlowEnd:
     """One end of an open flow; ``send(flags, sequence, payload)``."""
 
     send: object
     sequence: int
     received: int
     unsent: list = Factory(list)
-    under_way: dict = Factory(dict)
+    in_flight: dict = Factory(dict)
     resend_ms: int = FIRST_RESEND_MS
     resend_at_ms: int = 0
     resends: int = 0
     unacknowledged: int = 0
-    has_closed: bool = False
-    was_closed: bool = False
+    has_sent_fin: bool = False
+    has_received_fin: bool = False
 
     def write(self, data: bytes, now_ms: int) -> None:
         """Send data, in as many segments as it takes."""
@@ -125,23 +125,23 @@
 
     def close(self, now_ms: int) -> None:
         """Say that no more data follow."""
-        if not self.has_closed:
-            self.has_closed = True
+        if not self.has_sent_fin:
+            self.has_sent_fin = True
             self.unsent.append((FIN, b''))
             self._send_more(now_ms)
 
     def _send_more(self, now_ms):
-        while self.unsent and len(self.under_way) < WINDOW:
+        while self.unsent and len(self.in_flight) < WINDOW_PACKETS:
             flags, data = self.unsent.pop(0)
-            if not self.under_way:
+            if not self.in_flight:
                 self.resend_at_ms = now_ms + self.resend_ms
-            self.under_way[self.sequence] = (flags, data)
+            self.in_flight[self.sequence] = (flags, data)
             self.send(flags | ACK, self.sequence, data)
             self.sequence = (self.sequence + len(data) + bool(flags)) & MASK
 
-    def take(self, packet: Packet, now_ms: int) -> bytes:
+    def receive(self, packet: Packet, now_ms: int) -> bytes:
         """Take the other end's packet; return new data in order."""
-        self._acknowledged(packet.acknowledgement, now_ms)
+        self._receive_acknowledgement(packet.acknowledgement, now_ms)
         length = len(packet.payload) + bool(packet.flags & FIN)
         if not length:
             return b''
@@ -152,16 +152,16 @@
         self.received = (self.received + length) & MASK
         self.unacknowledged += 1
         is_end = bool(packet.flags & FIN)
-        self.was_closed = self.was_closed or is_end
+        self.has_received_fin = self.has_received_fin or is_end
         if self.unacknowledged >= 2 or is_end:
             self.unacknowledged = 0
             self.send(ACK, self.sequence, b'')
         return packet.payload
 
-    def _acknowledged(self, number, now_ms):
-        done = [one for one in self.under_way if _behind(one, number)]
+    def _receive_acknowledgement(self, number, now_ms):
+        done = [one for one in self.in_flight if _precedes(one, number)]
         for one in done:
-            del self.under_way[one]
+            del self.in_flight[one]
         if done:
             self.resends = 0
             self.resend_ms = FIRST_RESEND_MS
@@ -170,10 +170,10 @@
 
     def tick(self, now_ms: int) -> None:
         """Send again what was not acknowledged in time."""
-        if not self.under_way or now_ms < self.resend_at_ms:
+        if not self.in_flight or now_ms < self.resend_at_ms:
             return
         self.resends += 1
-        self.resend_ms = min(2 * self.resend_ms, LONGEST_RESEND_MS)
+        self.resend_ms = min(2 * self.resend_ms, MAX_RESEND_MS)
         self.resend_at_ms = now_ms + self.resend_ms
-        for sequence, (flags, data) in list(self.under_way.items()):
+        for sequence, (flags, data) in list(self.in_flight.items()):
             self.send(flags | ACK, sequence, data)
--- a/stand_ins/callers.py
+++ b/stand_ins/callers.py
@@ -86,7 +86,7 @@
         self.clients = []
         self.stopping = asyncio.Event()
         self.requests = set()
-        self.made = 0
+        self.request_count = 0
 
     async def run(self):
         """Open everything, run until told to stop, then finish."""
@@ -196,18 +196,18 @@
             task.add_done_callback(self.requests.discard)
 
     async def _request(self, load):
-        self.made += 1
+        self.request_count += 1
         work_ms = self.random.gammavariate(
             1 / load.spread**2, load.work_ms * load.spread**2
         )
         work = Work(
-            id=f'{self.plan.team}-{self.plan.seed}-{self.made}',
+            id=f'{self.plan.team}-{self.plan.seed}-{self.request_count}',
             team=self.plan.team,
             service=load.service,
             work_ms=round(work_ms, 2),
             answer_bytes=load.answer_bytes,
         )
-        client = self.clients[self.made % len(self.clients)]
+        client = self.clients[self.request_count % len(self.clients)]
         started_ms = self.clock.now_ms()
         self.recorder.write('asked', id=work.id, repeatable=load.repeatable)
         outcome = await client.request(
--- a/stand_ins/demo.py
+++ b/stand_ins/demo.py
@@ -20,7 +20,7 @@
 SETTLE_S = 3.0
 
 
-def say(text):
+def print_progress(text):
     """Print a line of progress at once."""
     print(text, flush=True)
 
@@ -39,20 +39,20 @@
         """Run it and return the report."""
         deployment = self.deployment
         count = len(deployment.balancers)
-        say(f'{self.plan.name}: starting {count} balancers ...')
+        print_progress(f'{self.plan.name}: starting {count} balancers ...')
         deployment.start()
-        say('The configuration is in force. Callers start.')
+        print_progress('The configuration is in force. Callers start.')
         for team in self.plan.teams:
             deployment.start_callers(team)
         time.sleep(SETTLE_S)
         self.since_ms = time.time_ns() // 1_000_000
-        self._disturb()
+        self._run_actions()
         deployment.stop_callers()
         status = deployment.tool('status', check=False)
-        say(status.stdout)
+        print_progress(status.stdout)
         return self._report()
 
-    def _disturb(self):
+    def _run_actions(self):
         step_s = self.run_seconds / 5
         for action in (
             self._drain_target,
@@ -68,20 +68,20 @@
         team = self.plan.teams[0]
         pool = self.plan.pools[0].name
         target = f'{team}/{pool}-2'
-        say(f'Draining target {target}.')
+        print_progress(f'Draining target {target}.')
         self.excluded.add(target)
         self.deployment.drain_target(target)
 
     def _stop_balancer(self):
         name = self._owner(0)
-        say(f'Stopping balancer {name} as planned.')
+        print_progress(f'Stopping balancer {name} as planned.')
         status = self.deployment.stop_planned(name)
         self.deployment.publish_balancers()
-        say(f'Balancer {name} ended with status {status}.')
+        print_progress(f'Balancer {name} ended with status {status}.')
 
     def _kill_balancer(self):
         name = self._owner(0)
-        say(f'Killing balancer {name}.')
+        print_progress(f'Killing balancer {name}.')
         self.deployment.kill(name)
         # A fabric takes a while to notice.
         time.sleep(1.0)
@@ -98,7 +98,7 @@
 
     def _change_configuration(self):
         team = self.plan.teams[0]
-        say(f'Changing the configuration of {team}.')
+        print_progress(f'Changing the configuration of {team}.')
         document = self.deployment.team_document(team)
         service = self.plan.services[-1]
         document['services'] = {
@@ -109,7 +109,7 @@
             'team', document, '--wait-ms', '15000', check=False
         )
         took_ms = round((time.monotonic() - started) * 1000)
-        say(f'{done.stdout.strip()} ({took_ms} ms, tool included)')
+        print_progress(f'{done.stdout.strip()} ({took_ms} ms, tool included)')
 
     def _report(self):
         caller_records, target_records = self.deployment.records()
@@ -134,9 +134,9 @@
             continue
         if isinstance(value, dict):
             value = ', '.join(f'{k} {v}' for k, v in sorted(value.items()))
-        say(f'  {key.replace("_", " "):22} {value}')
+        print_progress(f'  {key.replace("_", " "):22} {value}')
     for example in document['examples']:
-        say(f'  example: {example}')
+        print_progress(f'  example: {example}')
 
 
 def main() -> int:
--- a/stand_ins/deployment.py
+++ b/stand_ins/deployment.py
@@ -50,13 +50,13 @@
         outside = nets.OUTSIDE_GROUP
         self.platform = self.nets.address(outside, 1)
         self.fabric_control = self.nets.address(outside, 2)
-        self.way_back = self.nets.address(outside, 3)
+        self.fabric_return = self.nets.address(outside, 3)
         self.links_control = self.nets.address(outside, 4)
-        self._lay_out()
+        self._assign_addresses()
 
     # The plan, as addresses.
 
-    def _lay_out(self):
+    def _assign_addresses(self):
         number = 0
         for index, (domain, count) in enumerate(self.plan.domains.items()):
             for _ in range(count):
@@ -64,9 +64,9 @@
                 group = nets.FIRST_DOMAIN + index
                 ip = self.nets.ip(group, BALANCER_HOST + number)
                 self.balancers[f'lm-{number}'] = (domain, ip)
-        self._lay_out_targets()
+        self._assign_target_addresses()
 
-    def _lay_out_targets(self):
+    def _assign_target_addresses(self):
         domains = list(self.plan.domains)
         number = 0
         for pool in self.plan.pools:
@@ -104,7 +104,7 @@
         group = nets.CALLER_GROUP + self.plan.teams.index(team)
         return self.nets.ip(group, 1)
 
-    def _far(self, address):
+    def _proxied(self, address):
         """Return the address by which others reach ``address``."""
         if not self.linked:
             return address
@@ -154,7 +154,7 @@
         if self.linked:
             self._start_links()
         options = ['--control', self.fabric_control]
-        options += ['--way-back', self.way_back, '--seed', str(self.seed)]
+        options += ['--way-back', self.fabric_return, '--seed', str(self.seed)]
         self.spawn('fabric', ['-m', 'stand_ins.fabric', *options])
         names = list(dict.fromkeys(p['process'] for p in self.target_plans))
         for name in names:
@@ -186,7 +186,7 @@
 
     def _link(self, address, group, transport):
         return {
-            'listen': self._far(address),
+            'listen': self._proxied(address),
             'forward': address,
             'group': group,
             'transport': transport,
@@ -236,10 +236,10 @@
                 other_ip = self.balancers[other][1]
                 seeds.append(
                     {
-                        'peer': self._far(
+                        'peer': self._proxied(
                             f'{other_ip}:{self._port(PEER_PORT)}'
                         ),
-                        'control': self._far(
+                        'control': self._proxied(
                             f'{other_ip}:{self._port(CONTROL_PORT)}'
                         ),
                     }
@@ -252,10 +252,10 @@
                 'control': control,
             },
             'advertise': {
-                'peer': self._far(peer),
-                'control': self._far(control),
+                'peer': self._proxied(peer),
+                'control': self._proxied(control),
             },
-            'fabric': {'return_address': self.way_back},
+            'fabric': {'return_address': self.fabric_return},
             'platform': {'addresses': [self.platform]},
             'seeds': seeds,
             **self.settings,
@@ -368,7 +368,7 @@
                 {
                     'name': plan['name'],
                     'pool': plan['pool'],
-                    'address': self._far(plan['address']),
+                    'address': self._proxied(plan['address']),
                     'failure_domain': plan['domain'],
                 }
                 for plan in self.target_plans
--- a/stand_ins/fabric.py
+++ b/stand_ins/fabric.py
@@ -42,7 +42,7 @@
         self.faults = Faults()
         self.balancers = []
         self.addresses = {}
-        self.way_back = None
+        self.return_socket = None
         self.passed = 0
 
     async def bind_address(self, text):
@@ -52,22 +52,22 @@
         address = parse_endpoint(text)
 
         def on_datagram(data, source):
-            self._inward(address, data, source)
+            self._forward_inward(address, data, source)
 
         self.addresses[text] = await UdpSocket.bind(address, on_datagram)
 
-    def _inward(self, address, data, source):
+    def _forward_inward(self, address, data, source):
         if not self.balancers:
             return
         envelope = FabricEnvelope(
             source[0], source[1], address.ip, address.port, data
         )
         encoded = encode_fabric(envelope)
-        for delay_ms in self._copies():
+        for delay_ms in self._draw_delays():
             balancer = self.random.choice(self.balancers)
-            self._send_later(delay_ms, self.way_back, encoded, balancer)
+            self._send_later(delay_ms, self.return_socket, encoded, balancer)
 
-    def outward(self, data, _source):
+    def forward_outward(self, data, _source):
         """Hand a balancer's datagram to its caller."""
         try:
             envelope = decode_fabric(data)
@@ -78,10 +78,10 @@
         if socket is None:
             return
         caller = (envelope.caller_ip, envelope.caller_port)
-        for delay_ms in self._copies():
+        for delay_ms in self._draw_delays():
             self._send_later(delay_ms, socket, envelope.datagram, caller)
 
-    def _copies(self):
+    def _draw_delays(self):
         """Return the delay of each copy of a datagram; none when lost."""
         faults = self.faults
         draw = self.random.random
@@ -121,8 +121,8 @@
 async def serve(options):
     """Serve until cancelled."""
     fabric = Fabric(options.seed)
-    fabric.way_back = await UdpSocket.bind(
-        parse_endpoint(options.way_back), fabric.outward
+    fabric.return_socket = await UdpSocket.bind(
+        parse_endpoint(options.way_back), fabric.forward_outward
     )
     await serve_control('fabric', options.control, fabric.set)
 
--- a/stand_ins/history.py
+++ b/stand_ins/history.py
@@ -67,76 +67,78 @@
     of targets' own; wall times in milliseconds.
     """
     report = Report()
-    runs = Counter(one['id'] for one in _only(target_records, 'run'))
+    runs = Counter(
+        record['id'] for record in _select_events(target_records, 'run')
+    )
     _check_requests(report, caller_records, runs)
     _check_streams(report, caller_records)
-    for one in _only(target_records, 'wrong_service'):
-        _fault(report, 'wrong_service', one)
-    own_drains = _own_drains(target_records)
+    for record in _select_events(target_records, 'wrong_service'):
+        _record_fault(report, 'wrong_service', record)
+    own_drains = _find_own_drains(target_records)
     _check_leaving(report, target_records, [*drains, *own_drains])
     return report
 
 
-def _only(records, event):
-    return [one for one in records if one['event'] == event]
+def _select_events(records, event):
+    return [record for record in records if record['event'] == event]
 
 
-def _fault(report, name, record):
+def _record_fault(report, name, record):
     setattr(report, name, getattr(report, name) + 1)
     if len(report.examples) < 20:
         report.examples.append({'fault': name, **record})
 
 
 def _check_requests(report, records, runs):
-    answered = _only(records, 'request')
+    answered = _select_events(records, 'request')
     report.requests = len(answered)
-    verdicts = Counter(one['verdict'] for one in answered)
+    verdicts = Counter(record['verdict'] for record in answered)
     report.verdicts = dict(verdicts)
     report.reasons = dict(
-        Counter(one['reason'] for one in answered if one['reason'])
+        Counter(record['reason'] for record in answered if record['reason'])
     )
     if answered:
         share = verdicts['may_have_run'] / len(answered)
         report.may_have_run_share = round(share, 5)
-    known = {one['id'] for one in answered}
-    for one in _only(records, 'asked'):
-        if one['id'] not in known:
-            _fault(report, 'requests_unanswered', one)
-        if not one['repeatable'] and runs[one['id']] > 1:
-            _fault(report, 'requests_doubled', one)
-    for one in answered:
-        _check_request(report, one, runs[one['id']])
-
-
-def _check_request(report, one, times_run):
-    if one['verdict'] == 'not_run' and times_run:
-        _fault(report, 'not_run_but_ran', one)
-    if one['verdict'] == 'ran':
+    known = {record['id'] for record in answered}
+    for record in _select_events(records, 'asked'):
+        if record['id'] not in known:
+            _record_fault(report, 'requests_unanswered', record)
+        if not record['repeatable'] and runs[record['id']] > 1:
+            _record_fault(report, 'requests_doubled', record)
+    for record in answered:
+        _check_request(report, record, runs[record['id']])
+
+
+def _check_request(report, record, times_run):
+    if record['verdict'] == 'not_run' and times_run:
+        _record_fault(report, 'not_run_but_ran', record)
+    if record['verdict'] == 'ran':
         if not times_run:
-            _fault(report, 'ran_but_no_run', one)
-        if not one['whole']:
-            _fault(report, 'answers_incomplete', one)
+            _record_fault(report, 'ran_but_no_run', record)
+        if not record['whole']:
+            _record_fault(report, 'answers_incomplete', record)
 
 
 def _check_streams(report, records):
-    for one in _only(records, 'stream'):
+    for record in _select_events(records, 'stream'):
         report.streams += 1
-        report.stream_events += one['events']
-        report.stream_rebinds += one['rebinds']
-        report.stream_late_ms = max(report.stream_late_ms, one['late_ms'])
-        if one['problem']:
-            _fault(report, 'streams_broken', one)
+        report.stream_events += record['events']
+        report.stream_rebinds += record['rebinds']
+        report.stream_late_ms = max(report.stream_late_ms, record['late_ms'])
+        if record['problem']:
+            _record_fault(report, 'streams_broken', record)
 
 
-def _own_drains(records):
+def _find_own_drains(records):
     drains = []
     started = {}
-    for one in _only(records, 'draining'):
-        if one['is_draining']:
-            started.setdefault(one['target'], one['wall_ms'])
-        elif one['target'] in started:
-            since = started.pop(one['target'])
-            drains.append((one['target'], since, one['wall_ms']))
+    for record in _select_events(records, 'draining'):
+        if record['is_draining']:
+            started.setdefault(record['target'], record['wall_ms'])
+        elif record['target'] in started:
+            since = started.pop(record['target'])
+            drains.append((record['target'], since, record['wall_ms']))
     for target, since in started.items():
         drains.append((target, since, None))
     return drains
@@ -147,13 +149,13 @@
     for target, since_ms, until_ms in drains:
         by_target[target].append((since_ms, until_ms))
     new_work = ('run', 'attach', 'attach_while_draining')
-    for one in records:
-        if one['event'] not in new_work:
+    for record in records:
+        if record['event'] not in new_work:
             continue
-        for since_ms, until_ms in by_target.get(one['target'], ()):
-            ended = until_ms is not None and one['wall_ms'] > until_ms
-            if one['wall_ms'] > since_ms + LEAVING_MS and not ended:
-                _fault(report, 'work_after_leaving', one)
+        for since_ms, until_ms in by_target.get(record['target'], ()):
+            ended = until_ms is not None and record['wall_ms'] > until_ms
+            if record['wall_ms'] > since_ms + LEAVING_MS and not ended:
+                _record_fault(report, 'work_after_leaving', record)
 
 
 def measure_imbalance(report, target_records, plans, excluded, since_ms):
@@ -163,9 +165,9 @@
     there, or not allowed to work, all of the time.
     """
     done = Counter()
-    for one in _only(target_records, 'run'):
-        if one['wall_ms'] >= since_ms:
-            done[one['target']] += one['work_ms']
+    for record in _select_events(target_records, 'run'):
+        if record['wall_ms'] >= since_ms:
+            done[record['target']] += record['work_ms']
     shares = defaultdict(list)
     for plan in plans:
         name = f'{plan["team"]}/{plan["name"]}'
--- a/stand_ins/links.py
+++ b/stand_ins/links.py
@@ -72,13 +72,13 @@
         def on_datagram(data, source):
             if self.is_cut(source[0], group):
                 return
-            for delay_ms in self._copies():
+            for delay_ms in self._draw_delays():
                 loop = asyncio.get_running_loop()
                 loop.call_later(delay_ms / 1000, socket.send, data, pair)
 
         socket = await UdpSocket.bind(listen, on_datagram)
 
-    def _copies(self):
+    def _draw_delays(self):
         faults = self.faults
         if self.random.random() < faults.loss:
             return []
@@ -105,13 +105,13 @@
         await asyncio.start_server(on_connection, listen.ip, listen.port)
 
     async def _pump_both(self, reader, writer, forward):
-        far_reader, far_writer = await asyncio.open_connection(
+        upstream_reader, upstream_writer = await asyncio.open_connection(
             forward.ip, forward.port
         )
         try:
             tasks = {
-                asyncio.create_task(_pump(reader, far_writer)),
-                asyncio.create_task(_pump(far_reader, writer)),
+                asyncio.create_task(_pump(reader, upstream_writer)),
+                asyncio.create_task(_pump(upstream_reader, writer)),
             }
             _done, pending = await asyncio.wait(
                 tasks, return_when=asyncio.FIRST_COMPLETED
@@ -120,7 +120,7 @@
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
         finally:
-            far_writer.transport.abort()
+            upstream_writer.transport.abort()
 
     async def set(self, request):
         """Change cuts and faults."""
--- a/stand_ins/plans.py
+++ b/stand_ins/plans.py
@@ -5,7 +5,7 @@
 
 FAST = 4.0
 SLOW = 1.0
-SEVEN = (FAST, SLOW, SLOW, FAST, SLOW, SLOW, FAST)
+SEVEN_SPEEDS = (FAST, SLOW, SLOW, FAST, SLOW, SLOW, FAST)
 
 
 @frozen
@@ -59,7 +59,7 @@
         template='delivery-firm',
         teams=('firm-a', 'firm-b', 'firm-c'),
         pools=(
-            PoolPlan('guidance', SEVEN, 3),
+            PoolPlan('guidance', SEVEN_SPEEDS, 3),
             PoolPlan('tiles', (FAST, SLOW, SLOW), 3),
         ),
         services=(
@@ -88,7 +88,7 @@
         template='materials',
         teams=('index',),
         pools=(
-            PoolPlan('index', SEVEN, 2),
+            PoolPlan('index', SEVEN_SPEEDS, 2),
             PoolPlan('spectra', (FAST, SLOW, SLOW, SLOW), 2),
         ),
         services=(
--- a/stand_ins/store.py
+++ b/stand_ins/store.py
@@ -29,12 +29,16 @@
 MAX_VALUE_BYTES = 1_048_576
 INSTANCE_KIND = 'instance'
 # What each kind of trouble answers; None is no answer at all.
-TROUBLES = {'answers 503': 503, 'answers 429': 429, 'says nothing': None}
+TROUBLE_STATUSES = {
+    'answers 503': 503,
+    'answers 429': 429,
+    'says nothing': None,
+}
 SLOW_S = 0.4
-LOST_S = 3_600
+NO_ANSWER_S = 3_600
 # Part of an answer that goes over a slow link at once.
-PART_BYTES = 8_192
-BROKEN = b'{"items": 5, "events": [{"object": 3}], "current_rev": "x"}'
+CHUNK_BYTES = 8_192
+MALFORMED_BODY = b'{"items": 5, "events": [{"object": 3}], "current_rev": "x"}'
 
 
 @define
@@ -107,7 +111,8 @@
     def application(self) -> web.Application:
         """Return the HTTP application."""
         app = web.Application(
-            middlewares=[self._fail], client_max_size=2 * MAX_VALUE_BYTES
+            middlewares=[self._apply_faults],
+            client_max_size=2 * MAX_VALUE_BYTES,
         )
         app.add_routes(
             [
@@ -126,7 +131,7 @@
         return app
 
     @web.middleware
-    async def _fail(self, request, handler):
+    async def _apply_faults(self, request, handler):
         if request.headers.get('User-Agent') != USER_AGENT:
             return await handler(request)
         self.calls[request.remote] += 1
@@ -138,9 +143,9 @@
         if self.faults.delay_ms:
             await asyncio.sleep(self.faults.delay_ms / 1_000)
         transport = request.transport
-        answer = await self._trouble(request, handler)
+        answer = await self._apply_trouble(request, handler)
         if transport in self._silent:
-            await asyncio.sleep(LOST_S)
+            await asyncio.sleep(NO_ANSWER_S)
         if self.faults.bytes_per_s:
             return await self._send_slowly(request, answer)
         return answer
@@ -151,29 +156,29 @@
         stream = web.StreamResponse(status=answer.status)
         stream.content_length = len(body)
         await stream.prepare(request)
-        for first in range(0, len(body), PART_BYTES):
+        for first in range(0, len(body), CHUNK_BYTES):
             if first >= len(body) * self.faults.arrives:
-                await asyncio.sleep(LOST_S)
-            part = body[first : first + PART_BYTES]
+                await asyncio.sleep(NO_ANSWER_S)
+            part = body[first : first + CHUNK_BYTES]
             await asyncio.sleep(len(part) / self.faults.bytes_per_s)
             await stream.write(part)
         await stream.write_eof()
         return stream
 
-    async def _trouble(self, request, handler):
+    async def _apply_trouble(self, request, handler):
         """Answer as the trouble has it."""
         if self.trouble == 'sends broken documents':
-            return web.Response(body=BROKEN)
-        elif self.trouble in TROUBLES:
-            status = TROUBLES[self.trouble]
+            return web.Response(body=MALFORMED_BODY)
+        elif self.trouble in TROUBLE_STATUSES:
+            status = TROUBLE_STATUSES[self.trouble]
             if status is None:
-                await asyncio.sleep(LOST_S)
+                await asyncio.sleep(NO_ANSWER_S)
             return web.Response(status=status)
         elif self.trouble == 'is slow':
             await asyncio.sleep(SLOW_S)
         answer = await handler(request)
         if self.trouble == 'loses answers':
-            await asyncio.sleep(LOST_S)
+            await asyncio.sleep(NO_ANSWER_S)
         is_write = request.method != 'GET'
         if is_write and answer.status < 400 and self.faults.lose_answers:
             self.faults.lose_answers -= 1
@@ -193,16 +198,16 @@
         created = known.created_revision if known else self.revision + 1
         stored = Stored(kind, name, spec, self.revision + 1, created)
         self.objects[kind, name] = stored
-        await self._changed_to(stored, False)
+        await self._record_change(stored, False)
         return stored
 
     async def remove(self, kind: str, name: str) -> None:
         """Remove an object, whatever its finalizers."""
         stored = self.objects.pop((kind, name))
         stored.revision = self.revision + 1
-        await self._changed_to(stored, True)
+        await self._record_change(stored, True)
 
-    async def _changed_to(self, stored, is_gone):
+    async def _record_change(self, stored, is_gone):
         async with self._changed:
             self.revision += 1
             event = {'object': stored.document(), 'tombstone': is_gone}
@@ -303,14 +308,14 @@
         if meta.get('revision', stored.revision) != stored.revision:
             return self._conflict(stored)
         finalizers = meta.get('finalizers', stored.finalizers)
-        same = (stored.spec, stored.finalizers) == (
+        is_same = (stored.spec, stored.finalizers) == (
             document.get('spec'),
             finalizers,
         )
-        if not same:
+        if not is_same:
             stored.spec = document.get('spec')
             stored.finalizers = finalizers
-            await self._touch(stored)
+            await self._update(stored)
         return web.json_response(stored.document())
 
     async def set_status(self, request):
@@ -319,12 +324,12 @@
         document = await request.json()
         if stored.status != document.get('status'):
             stored.status = document.get('status')
-            await self._touch(stored)
+            await self._update(stored)
         return web.json_response(stored.document())
 
-    async def _touch(self, stored):
+    async def _update(self, stored):
         stored.revision = self.revision + 1
-        await self._changed_to(stored, False)
+        await self._record_change(stored, False)
 
     async def delete(self, request):
         """Remove an object, or mark it while it has finalizers."""
@@ -334,7 +339,7 @@
             return self._conflict(stored)
         if stored.finalizers:
             stored.is_deleting = True
-            await self._touch(stored)
+            await self._update(stored)
         else:
             await self.remove(stored.kind, stored.name)
         return web.json_response(stored.document())
@@ -344,21 +349,21 @@
     async def put_instance(self, request):
         """Note an instance; the list shows it after a while."""
         entry = await request.json()
-        self._later(
+        self._apply_later(
             lambda name: self.write(INSTANCE_KIND, name, entry), request
         )
         return web.json_response({})
 
     async def delete_instance(self, request):
         """Remove an instance; the list shows it for a while longer."""
-        self._later(self._forget_instance, request)
+        self._apply_later(self._remove_instance, request)
         return web.json_response({})
 
-    async def _forget_instance(self, name):
+    async def _remove_instance(self, name):
         if (INSTANCE_KIND, name) in self.objects:
             await self.remove(INSTANCE_KIND, name)
 
-    def _later(self, change, request):
+    def _apply_later(self, change, request):
         name = request.match_info['name']
         loop = asyncio.get_running_loop()
         loop.call_later(
--- a/stand_ins/target.py
+++ b/stand_ins/target.py
@@ -28,7 +28,7 @@
 from stand_ins.records import Recorder
 
 PUSH_TICK_MS = 20
-COLD_FACTOR = 4.0
+COLD_SLOWDOWN = 4.0
 
 
 @frozen
@@ -51,7 +51,7 @@
 
 
 @define(eq=False)
-class Running:
+class ActiveRequest:
     """A request between its arrival and its answer."""
 
     request_id: int
@@ -62,7 +62,7 @@
 
 
 @define(eq=False)
-class Attached:
+class AttachedStream:
     """A stream that is pushed over one connection."""
 
     nonce: int
@@ -91,7 +91,7 @@
         self.speed = plan.speed
         self.born_ms = self.clock.now_ms()
         self.slots = asyncio.Semaphore(plan.slots)
-        self.taken = 0
+        self.pending = 0
         self.draining = False
         self.lies = None
         self.lag_ms = 0
@@ -188,37 +188,37 @@
         work = workload.decode_work(frame.body)
         if work.team != self.plan.team or work.service != frame.service:
             self.record('wrong_service', id=work.id, wanted=work.team)
-        full = self.taken >= self.plan.slots + self.plan.queue
+        full = self.pending >= self.plan.slots + self.plan.queue
         if self.draining or full:
             why = 'draining' if self.draining else 'full'
             self.record('shed', id=work.id, why=why)
             refusal = frames.TargetRefusal(frame.request_id, 100, False)
             await self._send(connection, refusal)
             return
-        self._take(1)
+        self._change_pending(1)
         deadline_at_ms = self.clock.now_ms() + frame.deadline_ms
-        running = Running(frame.request_id, work, deadline_at_ms)
-        connection.requests[frame.request_id] = running
-        running.task = asyncio.create_task(self._run(connection, running))
+        active = ActiveRequest(frame.request_id, work, deadline_at_ms)
+        connection.requests[frame.request_id] = active
+        active.task = asyncio.create_task(self._run(connection, active))
 
-    def _take(self, change):
+    def _change_pending(self, change):
         """Note a request more or less; the load endpoint shows it late."""
-        self.taken += change
+        self.pending += change
         loop = asyncio.get_running_loop()
-        taken = self.taken
-        loop.call_later(self.lag_ms / 1000, self._show_load, taken)
+        pending = self.pending
+        loop.call_later(self.lag_ms / 1000, self._show_load, pending)
 
-    def _show_load(self, taken):
-        self.shown_load = taken
+    def _show_load(self, pending):
+        self.shown_load = pending
 
-    async def _run(self, connection, running):
-        work = running.work
+    async def _run(self, connection, active):
+        work = active.work
         try:
             async with self.slots:
-                if self.clock.now_ms() >= running.deadline_at_ms:
-                    await self._refuse(connection, running)
+                if self.clock.now_ms() >= active.deadline_at_ms:
+                    await self._refuse(connection, active)
                     return
-                running.started = True
+                active.started = True
                 busy_ms = work.work_ms / self._speed_now()
                 self.record(
                     'run',
@@ -229,28 +229,28 @@
                 )
                 await asyncio.sleep(busy_ms / 1000)
             body = workload.make_answer(work.id, work.answer_bytes)
-            answer = frames.TargetAnswer(running.request_id, body)
+            answer = frames.TargetAnswer(active.request_id, body)
             await self._send(connection, answer)
         finally:
-            self._take(-1)
-            connection.requests.pop(running.request_id, None)
+            self._change_pending(-1)
+            connection.requests.pop(active.request_id, None)
 
-    async def _refuse(self, connection, running):
-        refusal = frames.TargetRefusal(running.request_id, 0, True)
+    async def _refuse(self, connection, active):
+        refusal = frames.TargetRefusal(active.request_id, 0, True)
         await self._send(connection, refusal)
 
     def _speed_now(self):
         age_ms = self.clock.now_ms() - self.born_ms
         if age_ms < self.plan.cold_ms:
-            return self.speed / COLD_FACTOR
+            return self.speed / COLD_SLOWDOWN
         return self.speed
 
     async def _on_cancel(self, connection, request_id):
-        running = connection.requests.get(request_id)
-        if running is None or running.started:
+        active = connection.requests.get(request_id)
+        if active is None or active.started:
             return
-        running.task.cancel()
-        await self._refuse(connection, running)
+        active.task.cancel()
+        await self._refuse(connection, active)
 
     def _on_attach(self, connection, frame):
         plan = workload.parse_stream_name(frame.name)
@@ -260,7 +260,7 @@
             self.record('attach_while_draining', id=frame.name.decode())
         else:
             self.record('attach', id=frame.name.decode())
-        connection.streams[frame.nonce] = Attached(
+        connection.streams[frame.nonce] = AttachedStream(
             frame.nonce, frame.name, plan, frame.sequence
         )
 
--- a/tests/features/steps/soak_steps.py
+++ b/tests/features/steps/soak_steps.py
@@ -13,8 +13,8 @@
 from soak import promises
 from soak import run
 from soak import transport
-from soak.clients import Kind
 from soak.clients import Load
+from soak.clients import RequestKind
 from soak.deployment import Size
 from soak.proxy import Harm
 
@@ -156,10 +156,12 @@
 @given('a witness with all balancers in touch')
 def witness(context):
     context.clock = ManualClock(NOW_MS)
-    context.touch = promises.Touch()
-    context.witness = promises.Witness(context.clock, context.touch)
-    context.witness.balancer_names[BALANCER_IP] = 'balancer-1'
-    context.witness.route_services[ROUTE] = {'guide'}
+    context.disturbances = promises.Disturbances()
+    context.checker = promises.PromiseChecker(
+        context.clock, context.disturbances
+    )
+    context.checker.balancer_names[BALANCER_IP] = 'balancer-1'
+    context.checker.route_services[ROUTE] = {'guide'}
 
 
 def make_request(kind, attempt):
@@ -171,7 +173,7 @@
     """Run attempts of a request, each at a different target."""
     for number, attempt in enumerate(attempts):
         target = FakeTarget(f'i-{number}')
-        context.witness.ran(target, FLOW, make_request(kind, attempt))
+        context.checker.record_run(target, FLOW, make_request(kind, attempt))
 
 
 def open_at(context, service='guide', left_ms=None, evacuated_ms=None):
@@ -181,41 +183,41 @@
     """
     target = FakeTarget('i-1', service)
     if left_ms is not None:
-        context.witness.leaving_ms['i-1'] = NOW_MS - left_ms
+        context.checker.leaving_ms['i-1'] = NOW_MS - left_ms
     if evacuated_ms is not None:
-        context.witness.evacuated_ms[target.domain] = NOW_MS - evacuated_ms
+        context.checker.evacuated_ms[target.domain] = NOW_MS - evacuated_ms
     packet = transport.Packet(1, 0, ROUTE, FLOW[:2], 0, transport.SYN)
-    context.witness.opening(target, packet)
+    context.checker.record_opening(target, packet)
 
 
 def reset(context, cut_ms=None, keys=(FLOW,), is_open=True):
     """Report a reset of a balancer to a client."""
     target = FakeTarget('i-1', keys=keys)
     if is_open:
-        context.witness.opened(target, FLOW)
+        context.checker.record_open_flow(target, FLOW)
     if cut_ms is not None:
-        context.touch.disturb('i-1', NOW_MS - cut_ms)
-    context.witness.reset(FLOW, BALANCER_IP)
+        context.disturbances.record('i-1', NOW_MS - cut_ms)
+    context.checker.record_reset(FLOW, BALANCER_IP)
 
 
 def record_requests(context, served, requested):
     """Record requests after the last fault, of which some are served."""
-    load = Load(Kind.STREAM, 'guide', 1, 1, 1)
+    load = Load(RequestKind.STREAM, 'guide', 1, 1, 1)
     for number in range(requested):
-        context.witness.asked(load, NOW_MS, NOW_MS, number < served)
-    context.witness.check_recovery(NOW_MS, NOW_MS)
+        context.checker.record_request(load, NOW_MS, NOW_MS, number < served)
+    context.checker.check_recovery(NOW_MS, NOW_MS)
 
 
 EVENTS = {
-    'a request runs': lambda c: run_attempts(c, Kind.AT_MOST_ONCE, 0),
+    'a request runs': lambda c: run_attempts(c, RequestKind.AT_MOST_ONCE, 0),
     'an attempt runs at two targets': lambda c: run_attempts(
-        c, Kind.STREAM, 0, 0
+        c, RequestKind.STREAM, 0, 0
     ),
     'a request that must not be repeated runs in two attempts': lambda c: (
-        run_attempts(c, Kind.AT_MOST_ONCE, 0, 1)
+        run_attempts(c, RequestKind.AT_MOST_ONCE, 0, 1)
     ),
     'a request that may be repeated runs in two attempts': lambda c: (
-        run_attempts(c, Kind.STREAM, 0, 1)
+        run_attempts(c, RequestKind.STREAM, 0, 1)
     ),
     'an opening reaches a target of its service': open_at,
     'an opening reaches a target of another service': lambda c: open_at(
@@ -244,8 +246,8 @@
         c, keys=()
     ),
     'a flow that is not open is reset': lambda c: reset(c, is_open=False),
-    'an answer belongs to another request': lambda c: c.witness.mixed(
-        'r.0', 's.0'
+    'an answer belongs to another request': lambda c: (
+        c.checker.report_wrong_answer('r.0', 's.0')
     ),
     '94 of 100 requests are served after the last fault': lambda c: (
         record_requests(c, 94, 100)
@@ -266,12 +268,12 @@
 
 @then('the witness records nothing')
 def no_breach_recorded(context):
-    assert not context.witness.breaches, context.witness.breaches
+    assert not context.checker.breaches, context.checker.breaches
 
 
 @then('the witness records "{promise}"')
 def breach_recorded(context, promise):
-    found = [one.promise for one in context.witness.breaches]
+    found = [one.promise for one in context.checker.breaches]
     assert found == [promise], found
 
 
@@ -317,14 +319,14 @@
                 )
                 wires[1 - side].append(packet)
 
-        ends.append(transport.End(send, 1_000 * side, 1_000 * (1 - side)))
+        ends.append(transport.FlowEnd(send, 1_000 * side, 1_000 * (1 - side)))
     for end, data in zip(ends, context.data, strict=True):
         end.write(data, 0)
     for now_ms in range(0, LAST_MS, TICK_MS):
         for side, end in enumerate(ends):
             arrived, wires[side][:] = list(wires[side]), []
             for packet in arrived:
-                context.received[side] += end.take(packet, now_ms)
+                context.received[side] += end.receive(packet, now_ms)
             end.tick(now_ms)
 
 
@@ -358,7 +360,7 @@
         for fault in (
             *faults.draw_plan(seed, 20_000, 6, 9),
             *faults.draw_evacuations(seed, 20_000),
-            *faults.draw_oddities(seed, 20_000, 9),
+            *faults.draw_extra_faults(seed, 20_000, 9),
         )
     }
     groups = {faults.Fault, faults.BalancerFault, faults.TargetFault}
