--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,6 +1,7 @@
-"""A randomized fault soak: real balancers, faults from outside them.
+"""Soak test: real balancer processes under randomized faults.
 
-``plans`` draws the faults of a seed, ``world`` runs the balancers before
-stand-ins of clients, targets, routers and store, ``promises`` judges what
-these saw.  ``python -m soak --help``.
+``faults`` draws the faults of a seed, ``fault_injection`` injects them and
+``deployment`` runs the balancers with simulated clients, targets, routers
+and store.  ``promises`` checks what clients and targets observed.  See
+``python -m soak --help``.
 """
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,8 +1,8 @@
-"""Plays seeds of the fault soak: ``python -m soak``.
+"""Run seeds of the soak test: ``python -m soak``.
 
-Each seed runs in a process of its own.  The exit status is 0 when no
-promise was broken, 1 when one was, and 2 for bad arguments.  Logs of a
-seed that failed are kept, and their folder is named.
+Each seed runs in a separate process.  The exit status is 0 if no promise
+was broken, 1 if one was, and 2 for invalid arguments.  Logs of a failed
+seed are kept and their directory is printed.
 """
 
 import argparse
@@ -23,20 +23,19 @@
 from soak.deployment import Size
 from soak.regressions import REGRESSION_SEEDS
 
-# Fresh seeds are drawn from so many bits: none comes twice.
+# Wide enough that new seeds do not repeat.
 SEED_BITS = 32
-# A run takes 35 s, one with a hundred balancers two minutes.
+# Leaves room for runs with a hundred balancers.
 RUN_TIMEOUT_S = 300
-# The end of what a broken run wrote says why.
 MAX_STDERR_CHARACTERS = 2_000
 MAX_BREACHES_SHOWN = 5
-# What a shell reports of a program that SIGTERM has ended.
+# 128 + SIGTERM, as a shell reports it.
 SIGTERM_EXIT_STATUS = 143
 
 
 def play(seed: int, size: Size) -> int:
-    """Play one seed in this process; print its outcome as a JSON line."""
-    # A soak that is told to end still ends what it started.
+    """Run one seed in this process; print its outcome as a JSON line."""
+    # Exit by exception so that the balancers are stopped as well.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(SIGTERM_EXIT_STATUS))
     directory = Path(tempfile.mkdtemp(prefix='liftmount-soak-'))
     outcome = asyncio.run(run.play(seed, size, directory))
@@ -57,7 +56,7 @@
 
 
 def play_in_subprocess(seed: int, size: Size) -> dict:
-    """Play one seed in a process of its own; return its outcome."""
+    """Run one seed in a subprocess; return its outcome."""
     command = [sys.executable, '-m', 'soak', '--seed', str(seed)]
     command += ['--length-ms', str(size.length_ms)]
     command += ['--balancers', str(size.balancers)]
@@ -76,13 +75,13 @@
 
 
 def _make_failed_outcome(seed, cause):
-    """Return the outcome of a run that told none itself."""
+    """Return the outcome of a run that reported none itself."""
     breach = {'promise': 'the soak itself works', 'what': cause}
     return {'seed': seed, 'breaches': [breach], 'counts': {}}
 
 
 def print_outcome(outcome: dict) -> None:
-    """Print a line on a seed, and more if it failed."""
+    """Print a summary of a seed, with breaches and logs if it failed."""
     counts = outcome['counts']
     served = counts.get('served', 0)
     asked = served + counts.get('unserved', 0)
@@ -101,30 +100,32 @@
 
 
 def main() -> int:
-    """Play what the arguments choose; return the exit status."""
+    """Run the chosen seeds; return the exit status."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument('--seed', type=int, help='one seed, in this process')
-    parser.add_argument('--count', type=int, default=8, help='fresh seeds')
-    parser.add_argument('--first', type=int, help='count from this seed on')
     parser.add_argument(
-        '--regressions', action='store_true', help='seeds that failed once'
+        '--seed', type=int, help='run one seed in this process'
+    )
+    parser.add_argument('--count', type=int, default=8, help='number of seeds')
+    parser.add_argument('--first', type=int, help='first of consecutive seeds')
+    parser.add_argument(
+        '--regressions', action='store_true', help='seeds that failed before'
     )
     parser.add_argument(
         '--length-ms',
         type=int,
         default=Size().length_ms,
-        help='how long faults come',
+        help='length of the fault phase',
     )
     parser.add_argument(
         '--balancers',
         type=int,
         default=Size().balancers,
-        help='in each failure domain',
+        help='balancers in each failure domain',
     )
     parser.add_argument(
         '--deployed',
         type=Path,
-        help='a folder made by bundling, to run the form that is deployed',
+        help='a directory built by bundling: run balancers from it',
     )
     parser.add_argument('--jobs', type=int, default=2)
     options = parser.parse_args()
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients: flows opened through the routers, requests, retries."""
+"""Clients: open flows through the routers, send and retry requests."""
 
 import asyncio
 from enum import Enum
@@ -13,20 +13,19 @@
 from soak import transport
 from soak.transport import Packet
 
-# When a client sends its opening again, and gives up, as the platform's
-# clients do.
+# The platform's clients use the same times; both count from the first
+# opening.
 OPENING_RESENDS_MS = (200, 600)
 OPENING_TIMEOUT_MS = 1_400
-# Deadline and retries of the requests of the larger sites.
 DEADLINE_MS = 3_000
 MAX_RETRIES = 2
-# Ports of a client host; one is used again after minutes at the earliest.
+# Ports of a client host; the range is wide so that reuse takes minutes.
 FIRST_PORT = 10_000
 LAST_PORT = 60_000
 
 
 class RequestKind(Enum):
-    """Kinds of requests; a stream keeps its flow for many of them."""
+    """Kinds of requests; those of a stream share one flow."""
 
     STREAM = 'stream'
     AT_MOST_ONCE = 'at most once'
@@ -35,7 +34,7 @@
 
 @frozen
 class Load:
-    """One kind of request: its work, answer, and pause between two."""
+    """One kind of request: work, answer size and pause between requests."""
 
     kind: RequestKind
     service: str
@@ -45,7 +44,7 @@
 
 
 class FlowError(Exception):
-    """A flow ended before its answer; ``has_opened`` if it was open."""
+    """A flow ended before the answer; ``has_opened`` if it was open."""
 
     def __init__(self, reason: str, has_opened: bool):
         super().__init__(reason)
@@ -54,7 +53,7 @@
 
 @define(eq=False)
 class ClientFlow:
-    """A flow as its client sees it."""
+    """Client side of a flow."""
 
     host: object
     key: tuple
@@ -68,7 +67,7 @@
     failure: FlowError | None = None
 
     async def open(self) -> None:
-        """Open the flow; raises FlowError."""
+        """Open the flow; raise FlowError on failure."""
         self.opened = asyncio.get_running_loop().create_future()
         self._send_opening(0)
         waited_ms = 0
@@ -96,7 +95,7 @@
         self.host.send(self, packet)
 
     async def request(self, data: bytes, timeout_ms: int) -> dict:
-        """Send a request and return its answer; raises FlowError."""
+        """Send a request and return the answer; raise FlowError on failure."""
         if self.failure is not None:
             raise self.failure
         self.answered = asyncio.get_running_loop().create_future()
@@ -107,7 +106,7 @@
         return self.answered.result()
 
     def receive(self, packet: Packet) -> None:
-        """Take a packet for this flow."""
+        """Handle a packet for this flow."""
         if packet.flags & transport.RST:
             self.fail('reset')
         elif self.end is None:
@@ -140,12 +139,12 @@
             self.fail('closed')
 
     def fail(self, reason: str) -> None:
-        """End the flow: whoever waits for it hears of it."""
+        """End the flow and raise FlowError in pending calls."""
         self.failure = FlowError(reason, self.end is not None)
         for future in (self.opened, self.answered):
             if future is not None and not future.done():
                 future.set_exception(self.failure)
-                # Nobody may wait for it any more.
+                # Mark the exception as retrieved; no call may be waiting.
                 future.exception()
 
     def _send(self, flags, sequence, data):
@@ -162,7 +161,7 @@
 
 
 class ClientHost:
-    """The clients of one failure domain, at one IP number."""
+    """The clients of one failure domain; they share an IP address."""
 
     def __init__(self, domain, address: Endpoint, deployment):
         self.domain = domain
@@ -176,15 +175,15 @@
         self._next_port = FIRST_PORT
 
     async def start(self) -> None:
-        """Listen."""
+        """Bind the socket."""
         self._udp = await UdpSocket.bind(self.address, self._on_datagram)
 
     def close(self) -> None:
-        """Stop listening."""
+        """Close the socket."""
         self._udp.close()
 
     def new_flow(self, route: Endpoint) -> ClientFlow:
-        """Return a flow to a route, from a port of its own."""
+        """Return a flow to a route, from a new port."""
         self._next_port += 1
         if self._next_port > LAST_PORT:
             self._next_port = FIRST_PORT
@@ -218,13 +217,13 @@
         flow.receive(packet)
 
     def tick(self, now_ms: int) -> None:
-        """Send again what is due."""
+        """Resend what is due."""
         for flow in list(self.flows.values()):
             if flow.end is not None and flow.failure is None:
                 flow.end.tick(now_ms)
 
     def drop(self, flow: ClientFlow) -> None:
-        """Close a flow that is not needed any more."""
+        """Close a flow; its port is freed after the deadline."""
         if flow.end is not None and flow.failure is None:
             flow.end.close(self.clock.now_ms())
         asyncio.get_running_loop().call_later(
@@ -233,7 +232,7 @@
 
 
 class Client:
-    """Asks for one kind of request again and again."""
+    """Sends requests of one kind, one after the other."""
 
     def __init__(self, name, host, load: Load, route, checker):
         self.name = name
@@ -245,7 +244,7 @@
         self._count = 0
 
     async def run(self) -> None:
-        """Ask until cancelled."""
+        """Send requests until cancelled."""
         pause_ms = self.load.pause_ms
         await asyncio.sleep(seconds(self.host.random.uniform(0, pause_ms)))
         while True:
--- a/soak/deployment.py
+++ b/soak/deployment.py
@@ -1,4 +1,4 @@
-"""The deployment of one run: real balancers before stand-ins."""
+"""Deployment of one run: real balancers, simulated surroundings."""
 
 import asyncio
 from pathlib import Path
@@ -29,11 +29,13 @@
 GUIDE = 'guide'
 TILES = 'tiles'
 TARGETS_PER_DOMAIN = {GUIDE: 2, TILES: 1}
+# Per failure domain: number of clients, and the load of each.
 LOADS = (
     (5, Load(RequestKind.STREAM, GUIDE, 30, 3_000, 250)),
     (5, Load(RequestKind.AT_MOST_ONCE, GUIDE, 40, 400, 400)),
     (2, Load(RequestKind.DOWNLOAD, TILES, 8, 20_000, 500)),
 )
+# Groups of loopback addresses, see ``RunAddresses``.
 BALANCER_GROUP = 1
 TARGET_GROUP = 20
 TARGET_PROXY_GROUP = 21
@@ -41,6 +43,7 @@
 STORE_GROUP = 40
 STORE_PROXY_GROUP = 41
 ROUTE_GROUP = 200
+# Ports, as offsets from the first port of the run.
 PACKETS, READY, PEER, STORE, TARGET, ROUTE = range(6)
 SEED_COUNT = 3
 TICK_INTERVAL_MS = 20
@@ -50,7 +53,7 @@
 
 @frozen
 class Ports:
-    """The ports that are alike on all machines of a run."""
+    """Ports that are the same for all balancers of a run."""
 
     packets: int
     ready: int
@@ -59,10 +62,10 @@
 
 @frozen
 class Size:
-    """How long faults come, and how many balancers each domain has.
+    """Duration of the fault phase, and balancers per failure domain.
 
-    ``target`` is a folder that ``bundling`` made, if balancers shall run
-    in the form that is deployed.
+    ``bundle`` is a directory built by ``bundling``; with it balancers run
+    from the bundle instead of the source tree.
     """
 
     length_ms: int = 20_000
@@ -72,7 +75,7 @@
 
 @define(eq=False)
 class TargetHost:
-    """An address for targets, the proxy before it, and who is there."""
+    """A target address, the proxy in front of it, and its target."""
 
     proxy: Proxy
     domain: str
@@ -80,7 +83,7 @@
 
 
 class Deployment:
-    """Stand-ins, balancers and clients of one run, and who writes what."""
+    """Balancers, clients, targets, routers and store of one run."""
 
     def __init__(self, seed: int, size: Size, directory: Path):
         self.size = size
@@ -112,10 +115,13 @@
     def _endpoint(self, group, host, port):
         return Endpoint(self.addresses.ip(group, host), self._port(port))
 
-    # Start and stop.
+    # Start and stop
 
     async def start(self) -> None:
-        """Start everything and wait until the balancers are ready."""
+        """Start all parts and wait until the balancers are ready.
+
+        Raise TimeoutError if they do not become ready in time.
+        """
         await self._start_store()
         for domain in DOMAINS:
             for service, count in TARGETS_PER_DOMAIN.items():
@@ -147,7 +153,7 @@
             self.store_proxies.append(proxy)
 
     async def add_target_host(self, service: str, domain: str) -> None:
-        """Start a target at an address of its own."""
+        """Start a target at a new address."""
         host = len(self.target_hosts) + 1
         listen = self._endpoint(TARGET_GROUP, host, TARGET)
         address = self._endpoint(TARGET_PROXY_GROUP, host, TARGET)
@@ -158,14 +164,14 @@
         await self.new_target(target_host, service)
 
     async def new_target(self, target_host: TargetHost, service: str) -> None:
-        """Start a target at an address."""
+        """Start a new target at an address."""
         self._last_target_number += 1
         await self._start_target(
             target_host, self._last_target_number, service
         )
 
     async def restart_target(self, target_host: TargetHost) -> None:
-        """Start a target that has ended, under the name that it had."""
+        """Start a target that has ended again, under the same name."""
         ended = target_host.target
         await self._start_target(target_host, ended.number, ended.service)
 
@@ -231,7 +237,7 @@
                     self.spawn(client.run())
 
     def spawn(self, coroutine) -> None:
-        """Run something until the end of the run."""
+        """Run a coroutine as a task that the end of the run cancels."""
         task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._on_task_done)
@@ -244,7 +250,7 @@
             )
 
     async def stop(self) -> None:
-        """End everything that was started here."""
+        """Stop all parts of the run."""
         for task in list(self._tasks):
             task.cancel()
         for balancer in self.balancers:
@@ -286,14 +292,14 @@
                     f'{balancer.name}: status {balancer.process.returncode}',
                 )
 
-    # What operator and targets write to the store.
+    # Writes of operators and targets to the store
 
     async def _wait_for_store(self):
         while self.store.trouble:
             await asyncio.sleep(seconds(POLL_INTERVAL_MS))
 
     async def write_entry(self, target) -> None:
-        """Write the entry of a target that lives."""
+        """Write the entry of a target unless the target has ended."""
         await self._wait_for_store()
         if target.state is not TargetState.ENDED:
             await self.store.write('servers', target.name, target.entry())
@@ -305,7 +311,7 @@
             await self.store.remove('servers', target.name)
 
     def add_route(self, service: str) -> Endpoint:
-        """Add a route; it holds with the next configuration."""
+        """Add a route; the next configuration contains it."""
         host = len(self.routes) + 1
         route = self._endpoint(ROUTE_GROUP, host, ROUTE)
         self.routes[route] = service
@@ -320,9 +326,10 @@
         return next(k for k, one in self.routes.items() if one == service)
 
     async def write_configuration(self) -> None:
-        """Write the routes as a new version, once the store answers."""
+        """Write the routes as a new version once the store answers."""
         await self._wait_for_store()
-        # Versions rise in the order in which they are written.
+        # No await between here and the write: versions must rise in the
+        # order of the writes.
         self.version += self.random.randint(1, 4)
         document = {
             'version': self.version,
--- a/soak/fault_injection.py
+++ b/soak/fault_injection.py
@@ -1,4 +1,4 @@
-"""Brings faults about, from outside the balancers."""
+"""Injects faults from outside the balancers."""
 
 import asyncio
 import signal
@@ -13,18 +13,18 @@
 from soak.proxy import Harm
 from soak.targets import TargetState
 
-# An entry goes after three heartbeats of silence.
+# The entry of a crashed target expires after three missed heartbeats.
 ENTRY_EXPIRY_MS = 2_300
-# Entries that lapsed with the store are back this long after its return.
+# Time from the recovery of the store until targets write their entries.
 ENTRY_RETURN_MS = 1_000
-# How long an address rests before another service may get it.
+# Minimum time before another service reuses an address.
 ADDRESS_REUSE_MS = 2_000
-# Numbers that no target of a run gets.
+# Above the numbers of the targets of a run.
 FOREIGN_NUMBER = 0xF0000
 
 
 async def inject(run: Deployment, fault: faults.Fault) -> None:
-    """Bring a fault about, and its end."""
+    """Inject a fault; return after its end."""
     match fault:
         case faults.BalancerFault():
             await _inject_balancer_fault(
@@ -96,7 +96,7 @@
 
 
 async def _wait_disturbed(run, name, for_ms):
-    """Note a disturbance that begins now; wait for its end."""
+    """Record a disturbance that begins now; wait for its end."""
     run.disturbances.record(name, run.clock.now_ms() + for_ms)
     await asyncio.sleep(seconds(for_ms))
     run.disturbances.record(name, run.clock.now_ms())
@@ -112,8 +112,8 @@
     if not balancer.is_running or balancer.is_exit_expected:
         return
     process = balancer.process
-    # An interpreter that has not begun to run the balancer serves nobody,
-    # and ends as the signal has it.
+    # SIGTERM ends an interpreter that has not installed its signal
+    # handlers yet.
     allowed = {0, -signal.SIGKILL}
     if not balancer.handles_sigterm():
         allowed.add(-signal.SIGTERM)
@@ -134,11 +134,11 @@
 
 
 def _report_late_stop(run, balancer, elapsed_ms):
-    # A process that is paused meanwhile cannot end.
+    # A paused process cannot exit.
     if run.disturbances.until_ms.get(f'pause {balancer.name}', 0) <= (
         run.clock.now_ms() - elapsed_ms
     ):
-        what = f'{balancer.name} was still there after {elapsed_ms} ms'
+        what = f'{balancer.name} was still running after {elapsed_ms} ms'
         run.checker.report_breach('a planned stop ends in time', what)
 
 
@@ -159,7 +159,7 @@
     if fault.is_signalled and balancer.is_running:
         balancer.send(signal.SIGHUP)
     if not fault.is_good:
-        # What is started next needs settings that hold.
+        # The next start of the balancer needs valid settings.
         loop = asyncio.get_running_loop()
         loop.call_later(seconds(POLL_INTERVAL_MS), balancer.write_settings)
 
@@ -185,7 +185,6 @@
         if ('servers', target.name) in run.store.objects:
             await run.store.remove('servers', target.name)
     await _fail_store(run, 'answers 503', fault.for_ms)
-    # Back within about two seconds of the store's return.
     await asyncio.sleep(seconds(ENTRY_RETURN_MS))
     for target in expired:
         if target.name not in run.checker.leaving_ms:
@@ -205,7 +204,7 @@
     service = target.service
     if fault.is_reused:
         service = TILES if service == GUIDE else GUIDE
-        # The service must not run out of targets.
+        # Keep the number of targets of the old service.
         await run.add_target_host(target.service, target_host.domain)
     await run.new_target(target_host, service)
 
@@ -220,7 +219,7 @@
         await run.write_entry(target)
     run.checker.leaving_ms[target.name] = run.clock.now_ms()
     await asyncio.sleep(seconds(promises.DRAIN_MS))
-    # It takes no connections any more, and serves on.
+    # It accepts no more connections but still serves its flows.
     target.stop_listening()
     await asyncio.sleep(seconds(fault.linger_ms))
     if target.state is not TargetState.ENDED:
@@ -238,7 +237,7 @@
 
 
 async def _write_foreign_entry(run, fault):
-    """Write an entry that names no target, and nobody's but its own."""
+    """Write an invalid entry under a name that no target uses."""
     good = run.target_hosts[0].target.entry()
     forms = (
         {},
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,4 +1,4 @@
-"""The faults that a soak brings about, and the draw of a seed's plan."""
+"""Faults of the soak test, and the random plan of a seed."""
 
 import random
 
@@ -8,58 +8,56 @@
 from soak.deployment import DOMAINS
 from soak.proxy import Harm
 
-# Faults begin after the start has settled and leave time to recover.
+# The first fault comes after the deployment has settled.
 FIRST_FAULT_MS = 3_000
-# Bounds of how long a fault lasts: shorter than the contact time of the
-# rules (4 s) as well as longer.
+# Range of the duration of a fault; it includes ``promises.SETTLED_MS``.
 MIN_FAULT_MS = 600
 MAX_FAULT_MS = 5_000
-# Parts of all faults that come in series of two or three.
+# Share of faults that are repeated in a series.
 SERIES_SHARE = 0.25
 SERIES_GAP_MS = 900
-# Evacuations of a seed, and how long each lasts: longer than its bound.
+# Each lasts longer than ``promises.EVACUATE_MS``.
 MAX_EVACUATIONS = 2
 EVACUATION_RANGE_MS = (4_000, 9_000)
-# Restarts of targets of a seed, and how long each takes.
 MAX_RESTARTS = 3
 RESTART_RANGE_MS = (300, 2_000)
-# Forms that a foreign entry may have, see strikes.py.
+# Number of invalid forms that ``fault_injection`` can write.
 FOREIGN_ENTRY_FORMS = 4
-# How much longer than it must a target that leaves serves on.
+# Time that a leaving target keeps serving after its drain time.
 LINGER_CHOICES_MS = (1_500, 4_000, 7_000)
 
 
 @frozen
 class Fault:
-    """Something that happens ``at_ms`` after the start of traffic."""
+    """Base of all faults; one begins ``at_ms`` after the plan starts."""
 
     at_ms: int
 
 
 @frozen
 class BalancerFault(Fault):
-    """Something that happens to one balancer."""
+    """Base of the faults of one balancer, by index."""
 
     balancer: int
 
 
 @frozen
 class TargetFault(Fault):
-    """Something that happens to one target."""
+    """Base of the faults of one target, by index."""
 
     target: int
 
 
 @frozen
 class BalancerKilled(BalancerFault):
-    """SIGKILL; started again ``down_ms`` later."""
+    """SIGKILL; the balancer starts again ``down_ms`` later."""
 
     down_ms: int
 
 
 @frozen
 class BalancerStopped(BalancerFault):
-    """SIGTERM; started again ``down_ms`` after its end."""
+    """SIGTERM; the balancer starts again ``down_ms`` after its exit."""
 
     down_ms: int
 
@@ -73,7 +71,7 @@
 
 @frozen
 class SettingsChanged(BalancerFault):
-    """Another settings file, with SIGHUP or without, good or not."""
+    """A new settings file, valid or not, with or without SIGHUP."""
 
     is_good: bool
     is_signalled: bool
@@ -81,7 +79,7 @@
 
 @frozen
 class AllKilled(Fault):
-    """SIGKILL to all balancers of a domain, or of all if it is empty."""
+    """SIGKILL to all balancers of a domain; of all domains if empty."""
 
     domain: str
     down_ms: int
@@ -89,7 +87,7 @@
 
 @frozen
 class StoreLinkHarmed(BalancerFault):
-    """The way from one balancer to the store is harmed."""
+    """The link from one balancer to the store fails."""
 
     harm: Harm
     for_ms: int
@@ -97,7 +95,7 @@
 
 @frozen
 class StoreTroubled(Fault):
-    """The store itself fails; see ``stand_ins.store.TROUBLES``."""
+    """The store fails; see ``stand_ins.store.Store.trouble``."""
 
     trouble: str
     for_ms: int
@@ -105,19 +103,19 @@
 
 @frozen
 class HistoryForgotten(Fault):
-    """The store forgets what changed until now."""
+    """The store drops its history of changes."""
 
 
 @frozen
 class EntriesLapsed(Fault):
-    """Entries of live targets go while the store is away."""
+    """Entries of live targets expire while the store is unavailable."""
 
     for_ms: int
 
 
 @frozen
 class TargetLinkHarmed(TargetFault):
-    """The way from all balancers to one target is harmed."""
+    """The link from all balancers to one target fails."""
 
     harm: Harm
     for_ms: int
@@ -125,9 +123,10 @@
 
 @frozen
 class TargetCrashed(TargetFault):
-    """A target forgets its flows; another starts ``down_ms`` later.
+    """A target loses its flows; a new one starts ``down_ms`` later.
 
-    With ``is_reused`` a target of the other service gets its address.
+    With ``is_reused`` the new target, at the same address, is one of the
+    other service.
     """
 
     down_ms: int
@@ -136,10 +135,10 @@
 
 @frozen
 class TargetReplaced(TargetFault):
-    """A target drains and ends; another starts first.
+    """A target drains and ends; its replacement starts first.
 
-    With ``is_silent`` it never says that it drains: its entry goes.  It
-    serves on for ``linger_ms`` longer than it must.
+    With ``is_silent`` its entry is removed instead of marked as draining.
+    It keeps serving for ``linger_ms`` after the drain time.
     """
 
     is_silent: bool
@@ -148,7 +147,7 @@
 
 @frozen
 class TargetSlowed(TargetFault):
-    """A target takes ``factor`` times as long for ``for_ms``."""
+    """Requests at a target take ``factor`` times as long."""
 
     factor: float
     for_ms: int
@@ -156,28 +155,28 @@
 
 @frozen
 class TargetRestarted(TargetFault):
-    """A target forgets its flows, and starts again under its name."""
+    """A target loses its flows and restarts under the same name."""
 
     down_ms: int
 
 
 @frozen
 class ForeignEntry(Fault):
-    """Somebody else writes an entry that names no target."""
+    """An invalid target entry appears in the store."""
 
     form: int
 
 
 @frozen
 class RoutesChanged(Fault):
-    """A configuration adds a route or drops the last that was added."""
+    """A configuration adds a route or removes the last one added."""
 
     is_added: bool
 
 
 @frozen
 class DomainEvacuated(Fault):
-    """An operator evacuates a failure domain, and takes it back."""
+    """An operator evacuates a failure domain and ends the evacuation."""
 
     domain: str
     for_ms: int
@@ -188,7 +187,7 @@
 
 
 def _draw_fault(draw, at_ms, balancers, targets):
-    """Draw one fault; what is worse comes more seldom."""
+    """Draw one fault; the kinds have weights."""
     for_ms = draw.randint(MIN_FAULT_MS, MAX_FAULT_MS)
     balancer = draw.randrange(balancers)
     target = draw.randrange(targets)
@@ -243,9 +242,9 @@
 
 
 def draw_plan(seed: int, length_ms: int, balancers: int, targets: int):
-    """Return the faults of a seed in the order in which they come.
+    """Return the faults of a seed, sorted by time.
 
-    One fault comes every 1.5 s on average; some come in series.
+    The same arguments always return the same faults.
     """
     draw = random.Random(seed)
     faults = []
@@ -262,7 +261,9 @@
 
 
 def draw_extra_faults(seed: int, length_ms: int, targets: int) -> list[Fault]:
-    """Return restarts and foreign entries of a seed, beside its faults."""
+    """Return target restarts and foreign entries, added to the plan."""
+    # This text and the one below seed the generators: a change of either
+    # changes the faults of every seed.
     draw = random.Random(f'oddities of {seed}')
 
     def at_ms():
@@ -282,7 +283,7 @@
 
 
 def draw_evacuations(seed: int, length_ms: int) -> list[DomainEvacuated]:
-    """Return the evacuations of a seed, which come beside its faults."""
+    """Return the evacuations of a seed, added to the plan."""
     draw = random.Random(f'evacuations of {seed}')
     return [
         DomainEvacuated(
--- a/soak/processes.py
+++ b/soak/processes.py
@@ -1,4 +1,4 @@
-"""The real balancers, as processes that the soak starts and ends."""
+"""Balancer processes that the soak starts and stops."""
 
 import asyncio
 import os
@@ -15,7 +15,7 @@
 
 
 class Balancer:
-    """One balancer: its settings, its process, and its log."""
+    """One balancer: settings, process and log."""
 
     def __init__(
         self, name, domain, ip, ports, seeds, store, directory, bundle
@@ -48,23 +48,23 @@
 
     @property
     def path(self) -> Path:
-        """Return where its settings lie."""
+        """Return the path of the settings file."""
         return self.directory / 'settings.toml'
 
     def write_settings(self, text: str | None = None) -> None:
-        """Write the settings file, whole."""
+        """Replace the settings file atomically, by ``text`` if given."""
         part = self.path.with_suffix('.new')
         part.write_text(text or tomli_w.dumps(self.settings))
         part.rename(self.path)
 
     async def start(self) -> None:
-        """Start a process, unless one is there."""
+        """Start the process unless one is running."""
         async with self._starting:
             if not self.is_running:
                 await self._start()
 
     def _command(self):
-        """Return the program and its arguments, in the form to be tried."""
+        """Return the command of the bundle or of the source tree."""
         if self._bundle is None:
             return [sys.executable, '-m', 'liftmount.platform']
         launcher = self._bundle / PROGRAM / 'liftmount/platform/launcher.py'
@@ -88,11 +88,11 @@
 
     @property
     def is_running(self) -> bool:
-        """Tell whether its process is there."""
+        """Tell whether the process is running."""
         return self.process is not None and self.process.returncode is None
 
     def handles_sigterm(self) -> bool:
-        """Tell whether its process runs the balancer, and handles signals."""
+        """Tell whether the process has installed its SIGTERM handler."""
         try:
             text = Path(f'/proc/{self.process.pid}/status').read_text()
         except OSError:
@@ -101,20 +101,20 @@
         return bool(caught & 1 << (signal.SIGTERM - 1))
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal to its process."""
+        """Send a signal to the process if it is running."""
         if number in (signal.SIGKILL, signal.SIGTERM):
             self.is_exit_expected = True
         if self.is_running:
             self.process.send_signal(number)
 
     async def kill(self) -> None:
-        """End its process at once."""
+        """Kill the process and wait for its exit."""
         self.send(signal.SIGKILL)
         if self.process is not None:
             await self.process.wait()
 
     def memory_mb(self) -> float:
-        """Return how much memory its process holds."""
+        """Return the resident memory of the process in MiB."""
         try:
             statm = Path(f'/proc/{self.process.pid}/statm').read_text()
         except OSError:
--- a/soak/promises.py
+++ b/soak/promises.py
@@ -1,4 +1,8 @@
-"""What has to hold, judged by what clients and targets saw."""
+"""Checks the balancers' guarantees by what clients and targets observe.
+
+Both report their events to ``PromiseChecker``, which records a breach for
+each guarantee that does not hold.
+"""
 
 from collections import Counter
 
@@ -9,24 +13,23 @@
 from soak import transport
 from soak.clients import RequestKind
 
-# The bounds that the deployment is run with.
+# Bounds of the deployment under test.
 DRAIN_MS = 3_000
 EVACUATE_MS = 3_000
 CONFIG_MS = 3_000
 SETTLED_MS = 4_000
 GRACE_MS = 6_000
 RECOVERY_MS = 12_000
-# What has to be served of what is asked after the last fault; the rules
-# ask for a quarter, our own balancers do far better.
+# Of the requests after the last fault.
 MIN_SERVED_SHARE = 0.95
 MIN_REQUESTS = 20
-# Requests take 10 to 60 ms; this long means that packets were lost.
+# Far above the normal latency: packets were lost and resent.
 SLOW_MS = 600
 
 
 @frozen
 class Breach:
-    """A promise that was broken, and what shows it."""
+    """A broken promise and the evidence."""
 
     promise: str
     at_ms: int
@@ -35,22 +38,30 @@
 
 @define
 class Disturbances:
-    """When something was last disturbed; whatever is now is ``inf``."""
+    """End of the last disturbance of each component.
+
+    The time is in the future, or ``inf``, while a disturbance lasts.
+    """
 
     until_ms: dict[str, float] = Factory(dict)
 
     def record(self, name: str, until_ms: float) -> None:
-        """Note a disturbance that lasts until then."""
+        """Record a disturbance of a component until ``until_ms``."""
         known = self.until_ms.get(name, 0)
         self.until_ms[name] = max(known, until_ms)
 
     def is_settled(self, name: str, now_ms: int) -> bool:
-        """Tell whether something has been well for the contact time."""
+        """Tell whether a component is undisturbed for at least SETTLED_MS."""
         return now_ms - self.until_ms.get(name, -SETTLED_MS) >= SETTLED_MS
 
 
 class PromiseChecker:
-    """Hears what happens at the sockets of clients and targets."""
+    """Checks the events that clients and targets report.
+
+    ``route_services`` maps (IP number, port) to the services that the route
+    has ever had; ``leaving_ms`` and ``evacuated_ms`` map targets and failure
+    domains to the time since which they are leaving or evacuated.
+    """
 
     def __init__(self, clock, disturbances: Disturbances):
         self.clock = clock
@@ -68,20 +79,20 @@
         self._try_by_request = {}
 
     def report_breach(self, promise: str, what: str) -> None:
-        """Note that a promise was broken."""
+        """Record that a promise was broken."""
         now_ms = self.clock.now_ms()
         self.breaches.append(Breach(promise, now_ms, what))
 
-    # What targets see.
+    # Events of targets
 
     def report_changed_packet(self, where: str, datagram: bytes) -> None:
-        """A packet arrived that its sender did not write so."""
+        """Report a packet that differs from what its sender wrote."""
         self.report_breach(
             'packets stay as they are', f'{where}: {datagram[:32]!r}'
         )
 
     def record_opening(self, target, packet) -> None:
-        """A target took an opening."""
+        """Record that a target accepted the opening of a flow."""
         self.counts['openings'] += 1
         allowed = self.route_services.get(packet.destination, set())
         if target.service not in allowed:
@@ -103,19 +114,19 @@
         )
 
     def _check_late_opening(self, promise, where, since_ms, bound_ms):
-        """Note an opening that came too long after the store took a word."""
+        """Report an opening later than ``bound_ms`` after a store write."""
         if since_ms is None:
             return
         late_ms = self.clock.now_ms() - since_ms
         if late_ms > bound_ms and self.is_undisturbed():
             self.report_breach(
-                promise, f'{where} {late_ms} ms after it was said'
+                promise, f'{where} {late_ms} ms after the store write'
             )
 
     def is_undisturbed(self) -> bool:
-        """Tell whether every balancer and the store are in touch.
+        """Tell whether all balancers and the store are undisturbed.
 
-        Which balancer passed a packet on is not seen at a target.
+        A target does not see which balancer forwarded a packet.
         """
         now_ms = self.clock.now_ms()
         names = [*self.balancer_names.values(), 'store']
@@ -124,12 +135,12 @@
         )
 
     def record_open_flow(self, target, key) -> None:
-        """The handshake of a flow reached its target."""
+        """Record that the handshake of a flow reached its target."""
         self.counts['opened'] += 1
         self.open_flows[key] = target
 
     def record_run(self, target, key, request) -> None:
-        """A target began work on a request."""
+        """Record that a target began work on a request."""
         self.counts['ran'] += 1
         if (
             self._target_by_try.setdefault(request['try'], target.name)
@@ -147,10 +158,10 @@
             what = f'{request["request"]} ran as {first}, {request["try"]}'
             self.report_breach('a request runs at most once', what)
 
-    # What clients see.
+    # Events of clients
 
     def record_reset(self, key, ip) -> None:
-        """A client got a reset that a balancer wrote."""
+        """Record a reset that a client received from a balancer."""
         self.counts['resets'] += 1
         target = self.open_flows.get(key)
         if target is None or not target.holds(key):
@@ -167,20 +178,20 @@
             )
 
     def report_wrong_answer(self, wanted: str, got: str) -> None:
-        """A client got an answer to another request."""
+        """Report an answer that belongs to another request."""
         self.report_breach('answers belong to requests', f'{got} for {wanted}')
 
     def record_request(self, load, started_ms, ended_ms, is_served) -> None:
-        """A request came to its end."""
+        """Record the outcome of a request."""
         self.counts['served' if is_served else 'unserved'] += 1
         self.counts['slow'] += ended_ms - started_ms > SLOW_MS
         self.counts[f'asked {load.kind.value}'] += 1
         self.finished_requests.append((started_ms, is_served))
 
-    # At the end.
+    # End of the run
 
     def check_recovery(self, since_ms: int, until_ms: int) -> float:
-        """Judge what was asked after the last fault; return the share."""
+        """Check requests started in a period; return the share served."""
         found = [
             is_served
             for started_ms, is_served in self.finished_requests
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy for one address, TCP and UDP, that can be harmed."""
+"""A loopback proxy for one address, TCP and UDP, that injects faults."""
 
 import asyncio
 from enum import Enum
@@ -7,18 +7,18 @@
 from liftmount._internal.models.addresses import Endpoint
 from liftmount._internal.network.udp import UdpSocket
 
-# Longer than a client waits before it sends again.
+# Longer than the first resend time of a flow.
 DELAY_MS = 250
 CHUNK_BYTES = 65_536
 
 
 class Harm(Enum):
-    """What is wrong with a way.
+    """Fault of a link.
 
-    ``SILENT`` loses all both ways while connections seem to stay open,
-    ``ONE_WAY`` only what comes back, ``RESET`` breaks connections off,
-    refuses new ones and loses datagrams, ``DELAYED`` holds all up by a
-    quarter of a second.
+    ``SILENT`` drops datagrams and stalls TCP in both directions while
+    connections stay open, ``ONE_WAY`` stalls TCP towards the caller only,
+    ``RESET`` aborts connections, closes new ones and drops datagrams,
+    ``DELAYED`` delays everything by DELAY_MS.
     """
 
     NONE = 'none'
@@ -29,7 +29,7 @@
 
 
 class Proxy:
-    """Passes what arrives at ``listen`` on to ``forward``."""
+    """Forwards TCP and datagrams from ``listen`` to ``forward``."""
 
     def __init__(self, listen: Endpoint, forward: Endpoint):
         self.listen = listen
@@ -41,7 +41,7 @@
         self._tasks = set()
 
     async def start(self, with_udp: bool) -> None:
-        """Listen."""
+        """Start listening."""
         self._server = await asyncio.start_server(
             self._on_connection, self.listen.ip, self.listen.port
         )
@@ -49,14 +49,14 @@
             self._udp = await UdpSocket.bind(self.listen, self._on_datagram)
 
     def set_harm(self, harm: Harm) -> None:
-        """Change what is wrong; bytes that were lost stay lost."""
+        """Set the fault of the link; RESET aborts open connections."""
         self.harm = harm
         if harm is Harm.RESET:
             for writer in list(self._writers):
                 writer.transport.abort()
 
     def close(self) -> None:
-        """End everything."""
+        """Close all sockets and connections."""
         self._server.close()
         if self._udp is not None:
             self._udp.close()
@@ -89,7 +89,7 @@
                     reader, writer, upstream_reader, upstream
                 )
         except (OSError, asyncio.CancelledError):
-            # Either end broke off; so does the other.
+            # One side failed: close the other as well.
             pass
         finally:
             self._tasks.discard(task)
@@ -116,7 +116,7 @@
         while data := await reader.read(CHUNK_BYTES):
             if self.harm is Harm.DELAYED:
                 await asyncio.sleep(seconds(DELAY_MS))
-            # A partition holds bytes up until it heals.
+            # TCP would resend the bytes after the partition: hold them.
             while self.harm is Harm.SILENT or (
                 self.harm is Harm.ONE_WAY and is_back
             ):
--- a/soak/routers.py
+++ b/soak/routers.py
@@ -1,4 +1,4 @@
-"""The platform's routers: which balancer a client's packet meets."""
+"""Simulated routers: choose the balancer for a client's packet."""
 
 import asyncio
 from zlib import crc32
@@ -10,7 +10,7 @@
 from liftmount._internal.models.addresses import Endpoint
 
 CHECK_INTERVAL_MS = 500
-# Missed answers in a row before a balancer is out.
+# Failed health checks in a row.
 UNHEALTHY_THRESHOLD = 2
 CHECK_TIMEOUT_MS = 450
 HTTP_OK = 200
@@ -18,7 +18,7 @@
 
 @define(eq=False)
 class RoutedBalancer:
-    """A balancer as the routers see it."""
+    """A balancer and the result of its health checks."""
 
     name: str
     domain: str
@@ -28,18 +28,18 @@
 
     @property
     def is_healthy(self) -> bool:
-        """Tell whether it gets packets."""
+        """Tell whether the balancer is eligible for packets."""
         return self.failed_checks < UNHEALTHY_THRESHOLD
 
 
 class Routers:
-    """Asks each balancer whether it is ready, and spreads flows."""
+    """Checks the readiness of balancers and distributes flows."""
 
     def __init__(self, balancers: list[RoutedBalancer]):
         self.balancers = balancers
 
     async def run(self) -> None:
-        """Ask until cancelled."""
+        """Run health checks until cancelled."""
         timeout = aiohttp.ClientTimeout(total=seconds(CHECK_TIMEOUT_MS))
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
@@ -56,15 +56,14 @@
             async with session.get(url) as answer:
                 is_ready = answer.status == HTTP_OK
         except (aiohttp.ClientError, TimeoutError, OSError):
-            # A balancer that doesn't answer is one that isn't ready.
             is_ready = False
         balancer.failed_checks = 0 if is_ready else balancer.failed_checks + 1
 
     def pick(self, domain: str, key: tuple) -> Endpoint | None:
-        """Return where a flow's packet goes, as ``steady`` hashing has it.
+        """Return the balancer of a flow by rendezvous hashing, if any.
 
-        With fewer than half of a domain's balancers in, all of them are
-        used; with none in, those of other domains that are.
+        If fewer than half of a domain's balancers are healthy, all of them
+        are used; if none is, the healthy ones of other domains.
         """
         local = [
             balancer
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,4 +1,4 @@
-"""One run: the faults as they come, and the verdict."""
+"""One run: inject the faults of a plan, check the result."""
 
 import asyncio
 from pathlib import Path
@@ -13,17 +13,16 @@
 from soak.fault_injection import inject
 from soak.regressions import REGRESSION_SEEDS
 
-# After the last fault: until requests have to be served again, and how
-# long this is looked at.
+# After the last fault: recovery time, then the time that is checked.
 SETTLE_MS = 5_000
 RECOVERY_CHECK_MS = 4_000
-# A process of a balancer holds some 15 MB; growth beyond this is a leak.
+# Several times the memory of a balancer under this load.
 MAX_MEMORY_MB = 100
 
 
 @frozen
 class Outcome:
-    """What a run showed."""
+    """Result of a run."""
 
     seed: int
     breaches: tuple
@@ -36,7 +35,7 @@
 async def play(
     seed: int, size: Size, directory: Path, plan: tuple = ()
 ) -> Outcome:
-    """Play a seed, or a plan of one's own; return what it showed."""
+    """Run the faults of a seed, or those of ``plan`` if given."""
     run = Deployment(seed, size, directory)
     try:
         await run.start()
@@ -62,7 +61,7 @@
     plan = faults.draw_plan(
         seed, length_ms, len(run.balancers), len(run.target_hosts)
     )
-    # What failed once is played as it was.
+    # Regression seeds keep the plan with which they failed.
     if seed not in REGRESSION_SEEDS:
         plan += faults.draw_evacuations(seed, length_ms)
         plan += faults.draw_extra_faults(
@@ -84,7 +83,7 @@
 
 
 async def _check_final_state(run):
-    """Wait until all must be well again, and look at what is."""
+    """Wait for recovery, then check routes and memory."""
     await asyncio.sleep(seconds(SETTLE_MS))
     checks = [
         _check_route(run, host, route, service)
@@ -102,7 +101,7 @@
 
 
 async def _check_route(run, host, route, service):
-    """See whether the newest configuration is in force."""
+    """Check that a route is open if and only if it has a service."""
     flow = host.new_flow(route)
     try:
         await flow.open()
--- a/soak/targets.py
+++ b/soak/targets.py
@@ -1,4 +1,4 @@
-"""Targets: they hold flows, work on requests, drain, crash and end."""
+"""Simulated targets: hold flows, run requests, drain, crash and end."""
 
 import asyncio
 from enum import Enum
@@ -16,16 +16,17 @@
 from soak import transport
 from soak.transport import Packet
 
+# The number of the intended target precedes each datagram; 0 for any.
 NUMBER_BYTES = 8
-# Requests at work and in the queue, as on the smallest site.
+# Limits of running and of queued requests.
 SLOTS = 3
 MAX_QUEUED = 12
-# An end gives a flow up after this many resends without progress.
+# A flow is dropped after this many resends without progress.
 MAX_RESENDS = 8
 
 
 class TargetState(Enum):
-    """The life of a target."""
+    """State of a target; the values are those of its store entry."""
 
     READY = 'ready'
     DRAINING = 'draining'
@@ -34,7 +35,7 @@
 
 @define(eq=False)
 class ServedFlow:
-    """A flow as its target holds it; open once the handshake is done."""
+    """Target side of a flow; open once the handshake is complete."""
 
     key: tuple
     end: transport.FlowEnd
@@ -45,11 +46,11 @@
 
 
 class Target:
-    """One start of an endpoint: its number is its own alone.
+    """A target; its number is unique within a run.
 
-    ``listen`` is where it takes packets, ``address`` what its entry says
-    (a proxy in front of it), ``client_port`` where clients take theirs.
-    ``checker`` hears what happens (see ``promises.PromiseChecker``).
+    ``listen`` is where it receives packets, ``address`` what its store
+    entry says (a proxy in front of it), ``client_port`` the port at which
+    clients receive packets.
     """
 
     def __init__(self, number, service, domain, listen, address, deployment):
@@ -78,7 +79,7 @@
         await self._health.start(self.listen)
 
     def entry(self) -> dict:
-        """Return the entry that it keeps of itself in the store."""
+        """Return the target's entry in the store."""
         return {
             'backend': self.service,
             'address': str(self.address),
@@ -92,11 +93,11 @@
         }
 
     def stop_listening(self) -> None:
-        """Take no connections any more."""
+        """Accept no more connections for health checks."""
         self._health.close()
 
     def end(self) -> None:
-        """End at once; its flows are forgotten."""
+        """End at once and drop all flows."""
         self.state = TargetState.ENDED
         self.flows.clear()
         self._health.close()
@@ -105,7 +106,7 @@
             task.cancel()
 
     def holds(self, key: tuple) -> bool:
-        """Tell whether a flow is open here."""
+        """Tell whether a flow is open at this target."""
         flow = self.flows.get(key)
         return flow is not None and flow.is_open and not flow.has_ended
 
@@ -113,7 +114,7 @@
     def _answer_health(_path):
         return HttpAnswer(HTTP_OK, b'', {})
 
-    # Packets.
+    # Packets
 
     def _on_datagram(self, data, source):
         target_number = int.from_bytes(data[:NUMBER_BYTES], 'big')
@@ -139,7 +140,7 @@
             flow = ServedFlow(key, None, packet.tag)
             flow.end = transport.FlowEnd(
                 lambda *what: self._send(flow, *what),
-                # Any number will do; it shows which target answered.
+                # Differs between targets: clients can tell them apart.
                 (self.number * 7_919 + packet.sequence) & transport.MASK,
                 (packet.sequence + 1) & transport.MASK,
             )
@@ -154,7 +155,7 @@
         if not flow.is_open:
             expected = (flow.end.sequence + 1) & transport.MASK
             if packet.acknowledgement != expected:
-                # The client chose another target.
+                # The client accepted the answer of another target.
                 return
             flow.is_open = True
             flow.end.sequence = expected
@@ -169,7 +170,7 @@
             flow.has_ended = True
 
     def _answer_unknown_flow(self, packet, key, flow):
-        """Answer for a flow that is not here, or not any more."""
+        """Answer a packet of a flow that is unknown or has ended."""
         is_data = bool(packet.payload)
         if packet.flags & transport.RST or not (flow is None or is_data):
             return
@@ -198,7 +199,7 @@
             packet.encode(), (_int_to_ip(client[0]), self.client_port)
         )
 
-    # Requests.
+    # Requests
 
     def _serve(self, flow):
         while b'\n' in flow.buffer:
@@ -230,7 +231,7 @@
         flow.end.write(data, self.clock.now_ms())
 
     def tick(self, now_ms: int) -> None:
-        """Send again what is due; forget flows that got no answer."""
+        """Resend what is due; drop flows whose client does not answer."""
         for key, flow in list(self.flows.items()):
             if flow.end.resends > MAX_RESENDS:
                 del self.flows[key]
--- a/soak/transport.py
+++ b/soak/transport.py
@@ -1,8 +1,7 @@
-"""The two ends of a flow: segments, acknowledgements, resends.
+"""Reliable transport of one flow: segments, acknowledgements, resends.
 
-As the platform's pages describe it: up to 16 packets under way, every
-second one acknowledged, what is missing sent again after 200 ms and then
-after twice as long each time, up to 1.6 s.
+The sender has up to WINDOW_PACKETS unacknowledged packets and resends with
+exponential backoff; the receiver acknowledges every second packet.
 """
 
 from zlib import crc32
@@ -16,14 +15,12 @@
 ACK = 128
 FIN = packet_headers.FIN
 RST = packet_headers.RST
-# Data of a packet, packets under way, and waits before they are sent
-# again, as the platform's clients and targets have them.
 DATA_BYTES = 1_200
 WINDOW_PACKETS = 16
 FIRST_RESEND_MS = 200
 MAX_RESEND_MS = 1_600
 MASK = 2**32 - 1
-# Where the sum of a head stands, where the tag, and the byte of no meaning.
+# Fields of the packet header, see ``packet_headers.HEADER``.
 CHECKSUM = slice(26, 30)
 TAG = slice(22, 26)
 PADDING = slice(31, 32)
@@ -32,7 +29,7 @@
 
 @define
 class Packet:
-    """A packet, decoded; both addresses as (IP number, port)."""
+    """A decoded packet; addresses are (IP number, port)."""
 
     sequence: int
     acknowledgement: int
@@ -44,7 +41,7 @@
     checksum: int = 0
 
     def encode(self) -> bytes:
-        """Return the datagram, with its sum."""
+        """Return the datagram with its checksum."""
         head = packet_headers.HEADER.pack(
             self.sequence & MASK,
             self.acknowledgement & MASK,
@@ -62,14 +59,14 @@
 
 
 def compute_checksum(datagram: bytes) -> int:
-    """Return the sum over what nobody on the way may change."""
+    """Return the checksum of the fields that balancers must not change."""
     flags = datagram[CHECKSUM.stop : PADDING.start]
     body = datagram[: TAG.start] + flags + datagram[PADDING.stop :]
     return crc32(CHECKSUM_KEY + body) or 1
 
 
 def decode(datagram: bytes) -> Packet:
-    """Read a datagram."""
+    """Decode a datagram."""
     found = packet_headers.HEADER.unpack_from(datagram)
     sequence, acknowledgement, length = found[:3]
     return Packet(
@@ -87,23 +84,26 @@
 
 
 def flow_key(packet: Packet) -> tuple:
-    """Return what names a flow, from a client's packet."""
+    """Return the key of a flow from a client's packet."""
     return (*packet.source, *packet.destination)
 
 
 def is_unchanged(datagram: bytes) -> bool:
-    """Tell whether a packet is as its sender wrote it."""
+    """Tell whether the checksum of a packet matches."""
     return decode(datagram).checksum == compute_checksum(datagram)
 
 
 def _precedes(one, other):
-    """Tell whether sequence number ``one`` comes before ``other``."""
+    """Compare sequence numbers modulo 2**32."""
     return 0 < (other - one) & MASK < 2**31
 
 
 @define(eq=False)
 class FlowEnd:
-    """One end of an open flow; ``send(flags, sequence, payload)``."""
+    """One end of an open flow.
+
+    ``send`` is called with (flags, sequence, payload).
+    """
 
     send: object
     sequence: int
@@ -118,13 +118,13 @@
     has_received_fin: bool = False
 
     def write(self, data: bytes, now_ms: int) -> None:
-        """Send data, in as many segments as it takes."""
+        """Send data in segments of up to DATA_BYTES."""
         for start in range(0, len(data), DATA_BYTES):
             self.unsent.append((0, data[start : start + DATA_BYTES]))
         self._send_more(now_ms)
 
     def close(self, now_ms: int) -> None:
-        """Say that no more data follow."""
+        """Send FIN after all data."""
         if not self.has_sent_fin:
             self.has_sent_fin = True
             self.unsent.append((FIN, b''))
@@ -140,13 +140,13 @@
             self.sequence = (self.sequence + len(data) + bool(flags)) & MASK
 
     def receive(self, packet: Packet, now_ms: int) -> bytes:
-        """Take the other end's packet; return new data in order."""
+        """Handle a packet of the other end; return the new data in order."""
         self._receive_acknowledgement(packet.acknowledgement, now_ms)
         length = len(packet.payload) + bool(packet.flags & FIN)
         if not length:
             return b''
         if packet.sequence != self.received:
-            # Out of order or old: say again what is expected.
+            # Out of order or a duplicate: acknowledge again.
             self.send(ACK, self.sequence, b'')
             return b''
         self.received = (self.received + length) & MASK
@@ -169,7 +169,7 @@
         self._send_more(now_ms)
 
     def tick(self, now_ms: int) -> None:
-        """Send again what was not acknowledged in time."""
+        """Resend what was not acknowledged in time."""
         if not self.in_flight or now_ms < self.resend_at_ms:
             return
         self.resends += 1
--- a/stand_ins/__init__.py
+++ b/stand_ins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for what surrounds the balancers, for tests and demo."""
+"""Simulated store, fabric, targets and callers for tests and the demo."""
--- a/stand_ins/addresses.py
+++ b/stand_ins/addresses.py
@@ -1,4 +1,4 @@
-"""Loopback addresses of one run, apart from those of any other run."""
+"""Loopback addresses and ports that are separate for each run."""
 
 import os
 
@@ -20,24 +20,24 @@
 class RunAddresses:
     """Addresses 127.NET.GROUP.HOST and a range of ports for one run.
 
-    The process that lays out the run chooses them by its own id, so runs
-    side by side do not meet.
+    They follow from the id of the process that starts the run, so that
+    concurrent runs do not collide.
     """
 
     net: int
     first_port: int
 
     def ip(self, group: int, host: int) -> str:
-        """Return the IP number of a host in a group."""
+        """Return the IP address of a host in a group."""
         return f'127.{self.net}.{group}.{host}'
 
     def address(self, group: int, host: int, port: int = 0) -> str:
-        """Return ``IP:PORT``; ``port`` counts within the run's range."""
+        """Return ``IP:PORT``; ``port`` is an offset in the run's range."""
         return f'{self.ip(group, host)}:{self.first_port + port}'
 
 
 def make_run_addresses(run: int | None = None) -> RunAddresses:
-    """Return the addresses of this process's run."""
+    """Return the addresses of run number ``run``, by default the pid."""
     number = os.getpid() if run is None else run
     block = number // RUNS_BY_IP % RUNS_BY_PORT
     return RunAddresses(
--- a/stand_ins/callers.py
+++ b/stand_ins/callers.py
@@ -1,7 +1,7 @@
 """Stand-in for callers: streams and requests of one deployment.
 
-Reads a plan, runs it until SIGTERM, and records the fate of each request
-and stream.  Arrivals are an open loop: they do not wait for answers.
+Reads a plan, runs it until SIGTERM, and records the outcome of each request
+and stream.  Requests form an open loop: they do not wait for answers.
 """
 
 import argparse
@@ -24,8 +24,7 @@
 from stand_ins.records import Recorder
 from stand_ins.workload import Work
 
-# A stream that is silent, or behind its due events, for this long is
-# broken.
+# A stream without events, or behind the events due, for this long is broken.
 LATE_MS = 5_000
 OPEN_MS = 15_000
 STOP_MS = 8_000
@@ -43,7 +42,10 @@
 
 @frozen
 class RequestLoad:
-    """Requests of one service; ``spread`` is that of their work."""
+    """Requests of one service.
+
+    ``spread`` is the coefficient of variation of the work per request.
+    """
 
     service: str
     address: str
@@ -68,7 +70,7 @@
 
 
 def read_plan(path: Path) -> CallerPlan:
-    """Read the plan that the test wrote."""
+    """Read a plan from a JSON file."""
     document = json.loads(path.read_text())
     streams = [StreamLoad(**one) for one in document.pop('streams')]
     requests = [RequestLoad(**one) for one in document.pop('requests')]
@@ -89,7 +91,7 @@
         self.request_count = 0
 
     async def run(self):
-        """Open everything, run until told to stop, then finish."""
+        """Open clients, run the loads until ``stopping``, then finish."""
         local = Endpoint(self.plan.local_ip, 0)
         for _ in range(self.plan.clients):
             client = Client(local)
@@ -115,7 +117,7 @@
             await client.__aexit__(None, None, None)
 
     async def _stream(self, load, index):
-        # Streams start one after the other, not in one burst.
+        # Avoid a burst of openings.
         await asyncio.sleep(0.002 * index)
         name = workload.stream_name(
             self.plan.team,
@@ -137,7 +139,7 @@
         stream.close()
 
     async def _follow(self, stream, name, load):
-        """Read a stream until the end; return what went wrong."""
+        """Read a stream until ``stopping``; return (problem, late_ms)."""
         plan = workload.parse_stream_name(name)
         worst_ms = 0
         stopped = asyncio.create_task(self.stopping.wait())
@@ -165,7 +167,7 @@
         return await self._catch_up(stream, plan), worst_ms
 
     async def _catch_up(self, stream, plan):
-        """Wait for all events that were due; a stuck stream never ends."""
+        """Wait for the events that are due; return the problem, if any."""
         due = plan.due(self.clock.wall_ms())
         try:
             async with asyncio.timeout(LATE_MS / 1000):
--- a/stand_ins/calls.py
+++ b/stand_ins/calls.py
@@ -1,4 +1,4 @@
-"""Calls to stand-ins over HTTP, and waiting for what they show."""
+"""HTTP calls to stand-ins and to the store, and polling."""
 
 import json
 import time
@@ -14,7 +14,7 @@
 
 
 def call(address: str, path: str, document=None, method=None, headers=()):
-    """Call a stand-in over HTTP and return its answer."""
+    """Call a stand-in over HTTP; return the body, decoded if it is JSON."""
     data = None if document is None else json.dumps(document).encode()
     request = Request(
         f'http://{address}{path}',
@@ -47,14 +47,17 @@
 
 
 def put_stored(address: str, stored: StoredObject) -> None:
-    """Write an object past the product, if its version still holds."""
+    """Write an object to the store, if its version is still current."""
     path = f'/objects/{stored.kind}/{quote(stored.name, safe="")}'
     meta = {'revision': stored.version}
     call(address, path, {'meta': meta, 'spec': stored.value}, 'PUT')
 
 
 def wait_for(condition, what: str, limit_s: float = READY_SECONDS):
-    """Wait until ``condition()`` is true; return its value."""
+    """Wait until ``condition()`` is true; return its value.
+
+    Raise TimeoutError with ``what`` after ``limit_s``.
+    """
     end = time.monotonic() + limit_s
     while time.monotonic() < end:
         value = condition()
--- a/stand_ins/demo.py
+++ b/stand_ins/demo.py
@@ -1,9 +1,9 @@
-"""The demo: a whole deployment, changed and broken while it works.
+"""Demo: a whole deployment under load, with changes and failures.
 
-Drains a target, stops a balancer as planned, kills another and changes
-the configuration, all under load.  The last line is one JSON object; all
-of its figures come from the stand-ins.  Exits with 0 only if every
-promise held.
+Drains a target, stops a balancer gracefully, kills another and changes the
+configuration.  The last line of output is a JSON object with figures
+recorded by callers and targets.  The exit status is 0 if no guarantee was
+violated, else 1.
 """
 
 import argparse
@@ -21,7 +21,7 @@
 
 
 def print_progress(text):
-    """Print a line of progress at once."""
+    """Print a line and flush it."""
     print(text, flush=True)
 
 
@@ -83,12 +83,12 @@
         name = self._owner(0)
         print_progress(f'Killing balancer {name}.')
         self.deployment.kill(name)
-        # A fabric takes a while to notice.
+        # The fabric detects the failure with a delay.
         time.sleep(1.0)
         self.deployment.publish_balancers()
 
     def _owner(self, index):
-        """Return the balancer that owns a pool of the first team."""
+        """Return the owner of the pool of one of the first team's services."""
         team = self.plan.teams[0]
         service = self.plan.services[index].name
         running = self.deployment.running_balancers()
--- a/stand_ins/deployment.py
+++ b/stand_ins/deployment.py
@@ -1,4 +1,4 @@
-"""Starts and stops a whole deployment of real processes on loopback."""
+"""Runs a whole deployment as processes on loopback addresses."""
 
 import json
 import os
@@ -29,9 +29,10 @@
 
 
 class Deployment:
-    """One run: its processes, addresses and records.
+    """One run: processes, addresses and records.
 
-    ``linked`` puts the fault-injecting proxy between all of them.
+    With ``linked`` traffic between balancers, and to targets, passes the
+    fault-injecting proxy of ``stand_ins.links``.
     """
 
     def __init__(self, plan, directory: Path, seed=1, linked=False, **limits):
@@ -54,7 +55,7 @@
         self.links_control = self.nets.address(outside, 4)
         self._assign_addresses()
 
-    # The plan, as addresses.
+    # Addresses
 
     def _assign_addresses(self):
         number = 0
@@ -100,22 +101,22 @@
         return self.nets.address(nets.SERVICE_GROUP, host)
 
     def caller_ip(self, team: str) -> str:
-        """Return the IP number of a team's callers."""
+        """Return the IP address of a team's callers."""
         group = nets.CALLER_GROUP + self.plan.teams.index(team)
         return self.nets.ip(group, 1)
 
     def _proxied(self, address):
-        """Return the address by which others reach ``address``."""
+        """Return the address at which others reach ``address``."""
         if not self.linked:
             return address
         ip, _separator, port = address.rpartition(':')
         first, net, group, host = ip.split('.')
         return f'{first}.{net}.{int(group) + nets.LINK_GROUP}.{host}:{port}'
 
-    # Processes.
+    # Processes
 
     def spawn(self, name: str, arguments, wait_ready=True):
-        """Start a process; wait for its readiness line."""
+        """Start a process and, by default, wait until it is ready."""
         log = (self.directory / f'{name}.log').open('a')
         process = subprocess.Popen(
             [sys.executable, *arguments],
@@ -130,14 +131,17 @@
         return process
 
     def wait_ready(self, *names):
-        """Wait for the readiness lines of processes."""
+        """Wait for the readiness lines of processes.
+
+        Raise RuntimeError if a process prints something else.
+        """
         for name in names:
             line = self.processes[name].stdout.readline()
             if not line.startswith('{"ready"'):
                 raise RuntimeError(f'{name} did not start: see its log')
 
     def start(self, balancers=None):
-        """Start everything but the callers, and put teams in force."""
+        """Start all but the callers and apply the configuration."""
         self.directory.mkdir(parents=True, exist_ok=True)
         self.start_outside()
         names = list(balancers or self.balancers)
@@ -148,7 +152,7 @@
         self.apply_configuration()
 
     def start_outside(self):
-        """Start platform, fabric, links and targets."""
+        """Start store, fabric, links and targets."""
         listen = ['--listen', self.platform]
         self.spawn('platform', ['-m', 'stand_ins.store', *listen])
         if self.linked:
@@ -208,7 +212,7 @@
         self.spawn(name, ['-m', module, *options], wait_ready)
 
     def start_balancer(self, name: str, wait_ready=True):
-        """Start one balancer and enter it into the instance list."""
+        """Start one balancer and add it to the instance list."""
         path = self.directory / f'{name}.toml'
         path.write_text(tomli_w.dumps(self.make_settings(name)))
         options = ['--settings', str(path)]
@@ -216,7 +220,7 @@
         self.list_instance(name, 'live')
 
     def list_instance(self, name: str, state: str | None):
-        """Change the platform's list; None removes the instance."""
+        """Set the state of an instance in the list; None removes it."""
         path = f'/instances/{name}'
         if state is None:
             call(self.platform, path, method='DELETE')
@@ -262,7 +266,7 @@
         }
 
     def publish_balancers(self, names=None):
-        """Tell the fabric which balancers there are."""
+        """Send the addresses of balancers, by default the running ones."""
         found = [
             f'{self.balancers[name][1]}:{self._port(FABRIC_PORT)}'
             for name in (names or self.running_balancers())
@@ -270,17 +274,20 @@
         call(self.fabric_control, '/set', {'balancers': found})
 
     def running_balancers(self):
-        """Return the names of balancers whose process runs."""
+        """Return the names of balancers whose process is running."""
         return [
             name
             for name in self.balancers
             if name in self.processes and self.processes[name].poll() is None
         ]
 
-    # Configuration, by the operators' tool.
+    # Configuration by the command-line tool
 
     def tool(self, *arguments, check=True):
-        """Run the command-line tool."""
+        """Run the command-line tool.
+
+        With ``check`` raise RuntimeError if it fails.
+        """
         command = [sys.executable, '-m', PROGRAMS, 'tool']
         command += ['--platform', self.platform, *arguments]
         done = subprocess.run(
@@ -297,19 +304,19 @@
         return f'{ip}:{self._port(CONTROL_PORT)}'
 
     def explain(self, balancer: str, address: str) -> dict:
-        """Ask a balancer where a new flow would go."""
+        """Return where a balancer would place a new flow."""
         control = self.control_address(balancer)
         done = self.tool('flow', 'explain', address, '--control', control)
         return json.loads(done.stdout)
 
     def inspect(self, balancer: str) -> dict:
-        """Ask a balancer what it holds."""
+        """Return the state of a balancer."""
         control = self.control_address(balancer)
         done = self.tool('flow', 'inspect', '--control', control)
         return json.loads(done.stdout)
 
     def apply_configuration(self):
-        """Write the template and all teams, and wait for them."""
+        """Write the template and all teams; wait until they are in force."""
         self.apply('template', self.template_document())
         for team in self.plan.teams[:-1]:
             self.apply('team', self.team_document(team))
@@ -333,7 +340,7 @@
         )
 
     def apply(self, kind: str, document: dict, *options, check=True):
-        """Write a document by the tool."""
+        """Apply a document with the tool."""
         path = self.directory / f'{kind}-{document["name"]}.toml'
         path.write_text(tomli_w.dumps(document))
         return self.tool(kind, 'apply', str(path), *options, check=check)
@@ -376,7 +383,7 @@
             ],
         }
 
-    # Callers.
+    # Callers
 
     def start_callers(self, team: str, load_factor=1.0, seed=None):
         """Start the callers of a team; return the name of the process."""
@@ -435,14 +442,14 @@
             )
         return loads
 
-    # Faults.
+    # Faults
 
     def signal(self, name: str, number: int):
-        """Send a signal to a process by its id."""
+        """Send a signal to a process."""
         os.kill(self.processes[name].pid, number)
 
     def kill(self, name: str):
-        """Kill a process at once; the platform's list follows late."""
+        """Kill a process; the instance list follows with a delay."""
         process = self.processes.pop(name)
         process.kill()
         process.wait()
@@ -450,7 +457,7 @@
             self.list_instance(name, None)
 
     def stop_planned(self, name: str, limit_s=40) -> int:
-        """Stop a balancer as planned; return its exit status."""
+        """Stop a balancer gracefully; return its exit status."""
         process = self.processes.pop(name)
         self.list_instance(name, 'leaving')
         process.send_signal(signal.SIGTERM)
@@ -459,11 +466,11 @@
         return status
 
     def cut(self, *pairs):
-        """Cut pairs of failure domains off from each other."""
+        """Partition pairs of failure domains from each other."""
         call(self.links_control, '/set', {'cuts': [list(p) for p in pairs]})
 
     def platform_faults(self, **faults):
-        """Change the faults of the platform."""
+        """Change the faults of the store."""
         call(self.platform, '/faults', faults, 'POST')
 
     def fabric_faults(self, **faults):
@@ -471,7 +478,7 @@
         call(self.fabric_control, '/set', {'faults': faults})
 
     def set_target(self, process: str, team: str, **values):
-        """Change an endpoint: ``drain``, ``speed``, ``lies``."""
+        """Set ``drain``, ``speed``, ``lies`` or ``lag_ms`` of an endpoint."""
         address = next(
             plan['address']
             for plan in self.target_plans
@@ -481,14 +488,14 @@
         call(address, f'/set?{query}')
 
     def drain_target(self, target: str):
-        """Drain a target by the operator's word."""
+        """Drain a target with the command-line tool."""
         self.tool('target', 'drain', target)
         self.drains.append([target, time.time_ns() // 1_000_000, None])
 
-    # The end.
+    # End of the run
 
     def stop_callers(self, limit_s=40):
-        """Let the callers finish what they began."""
+        """Stop the callers after their requests have ended."""
         running = [(n, self.processes.pop(n)) for n in self.callers]
         for _name, process in running:
             process.send_signal(signal.SIGTERM)
@@ -496,7 +503,7 @@
             process.wait(limit_s)
 
     def answered(self) -> int:
-        """Return how many requests have their final answer by now."""
+        """Return how many requests have got their final answer."""
         count = 0
         for name in self.callers:
             path = self.directory / f'{name}.jsonl'
@@ -505,7 +512,7 @@
         return count
 
     def wait_answers(self, more: int, limit_s: float = 60):
-        """Wait until callers got so many answers more than now."""
+        """Wait until callers have got ``more`` further answers."""
         goal = self.answered() + more
         wait_for(
             lambda: self.answered() >= goal,
@@ -514,7 +521,7 @@
         )
 
     def records(self):
-        """Return the records of callers, and those of targets."""
+        """Return the records of callers and the records of targets."""
         caller_records = []
         for name in self.callers:
             path = self.directory / f'{name}.jsonl'
@@ -526,11 +533,11 @@
         return caller_records, target_records
 
     def check(self):
-        """Return the checker's report on the run so far."""
+        """Return the report of ``history.check`` on the run so far."""
         return history.check(*self.records(), self.drains)
 
     def stop(self):
-        """End every process of the run."""
+        """Kill all processes of the run."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.kill()
--- a/stand_ins/fabric.py
+++ b/stand_ins/fabric.py
@@ -1,9 +1,9 @@
-"""Stand-in for the fabric: hands any datagram to any balancer.
+"""Stand-in for the fabric: sends each datagram to a random balancer.
 
-Binds a UDP socket for each service address, puts each caller's datagram
-into an envelope and sends it to a balancer at random; and the other way
-round.  ``POST /set`` on its control address changes balancers, addresses
-and faults (loss, duplication, delay, reordering).
+Binds a UDP socket for each service address, wraps each datagram of a caller
+in an envelope and sends it to a balancer; datagrams of balancers take the
+reverse path.  ``POST /set`` on the control address changes balancers,
+addresses and faults (loss, duplication, delay, reordering).
 """
 
 import asyncio
@@ -25,7 +25,10 @@
 
 @define
 class Faults:
-    """Shares of datagrams that suffer, and how long they are held."""
+    """Share of datagrams with each fault, and the delays.
+
+    ``held_ms`` bounds the extra delay of duplicated and reordered datagrams.
+    """
 
     loss: float = 0.0
     duplication: float = 0.0
@@ -35,7 +38,7 @@
 
 
 class Fabric:
-    """Sockets of all service addresses, and the way back."""
+    """Sockets of all service addresses and of the return path."""
 
     def __init__(self, seed):
         self.random = random.Random(seed)
@@ -46,7 +49,7 @@
         self.passed = 0
 
     async def bind_address(self, text):
-        """Bind one service address."""
+        """Bind one service address, if it is not bound yet."""
         if text in self.addresses:
             return
         address = parse_endpoint(text)
@@ -68,7 +71,7 @@
             self._send_later(delay_ms, self.return_socket, encoded, balancer)
 
     def forward_outward(self, data, _source):
-        """Hand a balancer's datagram to its caller."""
+        """Send a balancer's datagram to its caller."""
         try:
             envelope = decode_fabric(data)
         except PacketError:
@@ -82,7 +85,7 @@
             self._send_later(delay_ms, socket, envelope.datagram, caller)
 
     def _draw_delays(self):
-        """Return the delay of each copy of a datagram; none when lost."""
+        """Return the delay of each copy of a datagram; none if it is lost."""
         faults = self.faults
         draw = self.random.random
         if draw() < faults.loss:
@@ -104,7 +107,7 @@
         loop.call_later(delay_ms / 1000, socket.send, data, destination)
 
     async def set(self, request):
-        """Change what the request names."""
+        """Change the balancers, addresses and faults of the request."""
         document = await request.json()
         if 'balancers' in document:
             self.balancers = [
--- a/stand_ins/history.py
+++ b/stand_ins/history.py
@@ -1,6 +1,6 @@
-"""Checks the promises against what callers and targets recorded.
+"""Checks the guarantees against the records of callers and targets.
 
-Only records of stand-ins count; the daemons are not asked.
+Logs and metrics of the daemons are not used.
 """
 
 from collections import Counter
@@ -10,13 +10,13 @@
 from attrs import define
 from attrs import Factory
 
-# A leaving target gets no new work this long after its leaving is known.
+# Bound on new work at a target after its drain began.
 LEAVING_MS = 3_000
 
 
 @define
 class Report:
-    """Counts of one run; every promise that was broken is a fault."""
+    """Counts of one run; the fields in FAULTS count violations."""
 
     streams: int = 0
     streams_broken: int = 0
@@ -50,11 +50,11 @@
     )
 
     def faults(self) -> int:
-        """Return how many promises were broken."""
+        """Return the number of violations."""
         return sum(getattr(self, name) for name in self.FAULTS)
 
     def document(self) -> dict:
-        """Return the report as a plain document."""
+        """Return the report as a dictionary."""
         document = asdict(self)
         document['faults'] = self.faults()
         return document
@@ -63,8 +63,9 @@
 def check(caller_records, target_records, drains=()) -> Report:
     """Return the report on one run.
 
-    ``drains`` holds (target, from_ms, until_ms) of operators' drains and
-    of targets' own; wall times in milliseconds.
+    ``drains`` holds (target, from_ms, until_ms) of drains by operators, in
+    wall time; ``until_ms`` is None while a drain lasts.  Drains by targets
+    themselves are found in their records.
     """
     report = Report()
     runs = Counter(
@@ -161,8 +162,8 @@
 def measure_imbalance(report, target_records, plans, excluded, since_ms):
     """Add the imbalance of each pool: max over mean of work / capacity.
 
-    ``plans`` are the endpoints' plans; ``excluded`` targets were not
-    there, or not allowed to work, all of the time.
+    ``plans`` are the plans of the endpoints.  Targets in ``excluded`` were
+    not available all the time and are left out.
     """
     done = Counter()
     for record in _select_events(target_records, 'run'):
--- a/stand_ins/links.py
+++ b/stand_ins/links.py
@@ -1,8 +1,8 @@
 """Fault-injecting proxy between balancers, and to targets.
 
-Each link forwards UDP and TCP from one address to another.  Who sends is
-told by its IP number.  ``POST /set`` names pairs of groups that are cut
-off from each other, and faults of datagrams.
+Each link forwards UDP or TCP from one address to another.  Senders are
+identified by their IP address.  ``POST /set`` sets the pairs of groups that
+are partitioned from each other, and faults of datagrams.
 """
 
 import asyncio
@@ -25,7 +25,7 @@
 
 @frozen
 class LinkPlan:
-    """One link; ``group`` is that of the process at its far end."""
+    """One link; ``group`` is that of the process it forwards to."""
 
     listen: str
     forward: str
@@ -35,7 +35,7 @@
 
 @define
 class Faults:
-    """Shares of datagrams that suffer."""
+    """Share of datagrams with each fault, and their largest delay."""
 
     loss: float = 0.0
     duplication: float = 0.0
@@ -53,7 +53,7 @@
         self.open = set()
 
     def is_cut(self, source_ip, group):
-        """Tell whether a sender is cut off from a group."""
+        """Tell whether a sender is partitioned from a group."""
         source = self.groups.get(source_ip, '')
         return frozenset((source, group)) in self.cuts
 
@@ -123,7 +123,7 @@
             upstream_writer.transport.abort()
 
     async def set(self, request):
-        """Change cuts and faults."""
+        """Change cuts and faults; abort connections that are cut."""
         document = await request.json()
         if 'cuts' in document:
             self.cuts = {frozenset(pair) for pair in document['cuts']}
--- a/stand_ins/plans.py
+++ b/stand_ins/plans.py
@@ -1,4 +1,4 @@
-"""The deployments of the users, at their sizes of today."""
+"""Plans of the deployments that tests, benches and the demo run."""
 
 from attrs import Factory
 from attrs import frozen
@@ -10,7 +10,7 @@
 
 @frozen
 class PoolPlan:
-    """Targets of one pool: a speed for each."""
+    """Targets of one pool: the speed of each, and slots per target."""
 
     name: str
     speeds: tuple
@@ -19,10 +19,11 @@
 
 @frozen
 class ServicePlan:
-    """A service of the template, and its load on each team.
+    """A service of the template, and its load per team.
 
-    ``load`` is the share of the pool's true capacity for requests, or the
-    number of streams for streams.
+    For requests ``load`` is the share of the pool's capacity; streams have
+    ``streams`` instead.  ``spread`` is the coefficient of variation of the
+    work per request.
     """
 
     name: str
@@ -41,7 +42,7 @@
 
 @frozen
 class DeploymentPlan:
-    """One deployment: domains with their balancers, teams, services."""
+    """One deployment; ``domains`` maps names to numbers of balancers."""
 
     name: str
     domains: dict
@@ -52,7 +53,7 @@
 
 
 def montevideo(streams: int = 2_000) -> DeploymentPlan:
-    """Return the van routing platform: three rival firms."""
+    """Return a van routing platform: three teams, three domains."""
     return DeploymentPlan(
         name='montevideo',
         domains={'centro': 3, 'cordon': 3, 'pocitos': 2},
@@ -81,7 +82,7 @@
 
 
 def kathmandu(streams: int = 2_000) -> DeploymentPlan:
-    """Return the materials index: one team, four domains."""
+    """Return a materials index: one team, four domains."""
     return DeploymentPlan(
         name='kathmandu',
         domains={'asan': 2, 'boudha': 2, 'kirtipur': 2, 'patan': 2},
@@ -109,7 +110,7 @@
 
 
 def small(streams: int = 24) -> DeploymentPlan:
-    """Return two rival firms before few targets, for tests of faults."""
+    """Return a small deployment with two teams, for tests of faults."""
     return DeploymentPlan(
         name='small',
         domains={'a': 2, 'b': 2, 'c': 2},
--- a/stand_ins/records.py
+++ b/stand_ins/records.py
@@ -1,4 +1,4 @@
-"""Records that stand-ins write, one JSON object a line."""
+"""Records written by stand-ins, one JSON object per line."""
 
 import json
 from pathlib import Path
@@ -7,7 +7,7 @@
 
 
 class Recorder:
-    """Appends records with the wall time; each line is written at once."""
+    """Appends records with the wall time to a line-buffered file."""
 
     def __init__(self, path: Path):
         self._clock = Clock()
@@ -24,7 +24,10 @@
 
 
 def read_records(path: Path) -> list[dict]:
-    """Return all whole records of a file; a killed writer may cut one."""
+    """Return all complete records of a file.
+
+    A killed process may leave a truncated line; it is skipped.
+    """
     records = []
     if not path.exists():
         return records
--- a/stand_ins/serving.py
+++ b/stand_ins/serving.py
@@ -1,4 +1,4 @@
-"""What the stand-ins that are told of faults by HTTP have in common."""
+"""Control server and command line of stand-ins that inject faults."""
 
 import argparse
 import asyncio
@@ -10,7 +10,7 @@
 
 
 async def serve_control(name: str, address: str, set_faults) -> None:
-    """Take ``POST /set`` at an address, say that all is ready, and wait."""
+    """Serve ``POST /set`` at an address; print readiness, then wait."""
     app = web.Application()
     app.add_routes([web.post('/set', set_faults)])
     runner = web.AppRunner(app, access_log=None)
@@ -22,9 +22,9 @@
 
 
 def run_program(description: str, options: dict[str, str], serve) -> None:
-    """Run ``serve(options)`` until cancelled.
+    """Parse the command line and run ``serve(options)`` until interrupted.
 
-    ``options`` maps the names of options to what they stand for.
+    ``options`` maps names of required options to their metavars.
     """
     parser = argparse.ArgumentParser(description=description)
     for name, metavar in {'--control': 'IP:PORT', **options}.items():
--- a/stand_ins/store.py
+++ b/stand_ins/store.py
@@ -1,12 +1,13 @@
-"""Stand-in for the platform's store, by its published protocol.
+"""Stand-in for the platform's store, with its published protocol.
 
-Objects by kind and name, one counter of revisions, lists, watches that
-wait, conditional writes, finalizers, and the ways in which the store
-fails.  Runs in a thread of the test's own process, or as a process.
+Serves objects by kind and name with one revision counter, paged lists,
+long-polling watches, conditional writes and finalizers, and injects faults.
+Runs in a thread of the test process or as a separate process.
 
-Tests change its faults by ``POST /faults``, and the instance list, which
-lags, by ``PUT|DELETE /instances/NAME``; ``GET /calls`` counts the calls of
-each address.  Only calls of the product are counted and suffer.
+Tests set faults by ``POST /faults`` and change the instance list, after a
+delay, by ``PUT|DELETE /instances/NAME``; ``GET /calls`` returns the number
+of calls per client address.  Only calls with the user agent of liftmount are
+counted and get faults.
 """
 
 import argparse
@@ -28,7 +29,7 @@
 PAGE_ITEMS = 500
 MAX_VALUE_BYTES = 1_048_576
 INSTANCE_KIND = 'instance'
-# What each kind of trouble answers; None is no answer at all.
+# HTTP status of each kind of trouble; None: no answer.
 TROUBLE_STATUSES = {
     'answers 503': 503,
     'answers 429': 429,
@@ -36,14 +37,14 @@
 }
 SLOW_S = 0.4
 NO_ANSWER_S = 3_600
-# Part of an answer that goes over a slow link at once.
+# Size of the chunks of an answer over a slow link.
 CHUNK_BYTES = 8_192
 MALFORMED_BODY = b'{"items": 5, "events": [{"object": 3}], "current_rev": "x"}'
 
 
 @define
 class Stored:
-    """An object with its bookkeeping."""
+    """An object and its metadata."""
 
     kind: str
     name: str
@@ -55,7 +56,7 @@
     is_deleting: bool = False
 
     def document(self) -> dict:
-        """Return the object as the store shows it."""
+        """Return the object as answers contain it."""
         return {
             'meta': {
                 'name': self.name,
@@ -71,13 +72,13 @@
 
 @define
 class Faults:
-    """What goes wrong at present, beside the store's trouble.
+    """Active faults, in addition to ``Store.trouble``.
 
-    ``lose_answers`` counts writes whose answer is lost after the write
-    took effect.  ``blocked`` lists client IPs that are cut off.  With
-    ``forgets`` each change is forgotten as soon as it is made.  Answers
-    come at ``bytes_per_s``, 0 for at once, and of each only a share of
-    ``arrives`` before it falls silent.
+    ``lose_answers`` is the number of further writes whose answer is lost
+    after the write took effect.  ``blocked`` lists client IP addresses whose
+    connections are reset.  With ``forgets`` each change leaves the history
+    at once.  Answers are sent at ``bytes_per_s`` (0: unlimited) and stall
+    after the share ``arrives`` of their bytes.
     """
 
     down: bool = False
@@ -91,7 +92,10 @@
 
 
 class Store:
-    """The store, its history, and who called it for what."""
+    """The store: objects, history of changes, counters of calls.
+
+    ``trouble`` is empty or the name of a failure, see ``_apply_trouble``.
+    """
 
     def __init__(self):
         self.objects = {}
@@ -151,7 +155,7 @@
         return answer
 
     async def _send_slowly(self, request, answer):
-        """Send an answer as a slow link would let it arrive."""
+        """Send an answer in chunks at the rate of a slow link."""
         body = answer.body
         stream = web.StreamResponse(status=answer.status)
         stream.content_length = len(body)
@@ -166,7 +170,7 @@
         return stream
 
     async def _apply_trouble(self, request, handler):
-        """Answer as the trouble has it."""
+        """Answer a request, with the failure that ``trouble`` names."""
         if self.trouble == 'sends broken documents':
             return web.Response(body=MALFORMED_BODY)
         elif self.trouble in TROUBLE_STATUSES:
@@ -190,10 +194,10 @@
         """Never answer again on the connections that are open now."""
         self._silent |= self._transports
 
-    # Changes.
+    # Changes
 
     async def write(self, kind: str, name: str, spec) -> Stored:
-        """Create or replace an object, as operators and targets do."""
+        """Create or replace an object unconditionally."""
         known = self.objects.get((kind, name))
         created = known.created_revision if known else self.revision + 1
         stored = Stored(kind, name, spec, self.revision + 1, created)
@@ -217,14 +221,14 @@
             self._changed.notify_all()
 
     def forget(self) -> None:
-        """Forget all history."""
+        """Drop the history of changes; older watches get HTTP 410."""
         self.history.clear()
         self.first_kept = self.revision
 
-    # Reading.
+    # Reads
 
     async def list_kind(self, request):
-        """List a kind, or wait for what changes in it."""
+        """List a kind, or wait for its changes if ``watch`` is given."""
         kind = request.match_info['kind']
         if 'watch' in request.query:
             return await self._watch(request, kind)
@@ -287,10 +291,10 @@
             raise web.HTTPNotFound()
         return self.objects[key]
 
-    # Writing.
+    # Writes
 
     async def create(self, request):
-        """Make an object that is not there yet."""
+        """Create an object; answer with a conflict if it exists."""
         kind = request.match_info['kind']
         document = await request.json()
         name = document['meta']['name']
@@ -301,7 +305,7 @@
         return web.json_response(stored.document())
 
     async def replace(self, request):
-        """Replace spec and finalizers, if the revision still holds."""
+        """Replace spec and finalizers if the revision is still current."""
         stored = self._find(request)
         document = await request.json()
         meta = document.get('meta') or {}
@@ -332,7 +336,7 @@
         await self._record_change(stored, False)
 
     async def delete(self, request):
-        """Remove an object, or mark it while it has finalizers."""
+        """Remove an object, or mark it as deleting if it has finalizers."""
         stored = self._find(request)
         wanted = int(request.query.get('revision', stored.revision))
         if wanted != stored.revision:
@@ -344,10 +348,10 @@
             await self.remove(stored.kind, stored.name)
         return web.json_response(stored.document())
 
-    # What tests ask for.
+    # Control by tests
 
     async def put_instance(self, request):
-        """Note an instance; the list shows it after a while."""
+        """Write an instance to the list after ``instance_lag_ms``."""
         entry = await request.json()
         self._apply_later(
             lambda name: self.write(INSTANCE_KIND, name, entry), request
@@ -355,7 +359,7 @@
         return web.json_response({})
 
     async def delete_instance(self, request):
-        """Remove an instance; the list shows it for a while longer."""
+        """Remove an instance from the list after ``instance_lag_ms``."""
         self._apply_later(self._remove_instance, request)
         return web.json_response({})
 
@@ -377,13 +381,13 @@
         task.add_done_callback(self._tasks.discard)
 
     async def set_faults(self, request):
-        """Change what goes wrong."""
+        """Set the faults that the request names."""
         for key, value in (await request.json()).items():
             setattr(self.faults, key, value)
         return web.json_response({})
 
     async def get_calls(self, _request):
-        """Answer with the number of calls of each address."""
+        """Return the number of calls per client address."""
         return web.json_response(dict(self.calls))
 
     @staticmethod
@@ -392,7 +396,7 @@
 
 
 class StoreThread:
-    """Runs a store on an address, in a thread with a loop of its own."""
+    """Runs a store on an address, in a thread with its own event loop."""
 
     def __init__(self, ip: str, port: int):
         self.address = f'{ip}:{port}'
@@ -427,7 +431,7 @@
         self.call(self.store.write(kind, name, json.loads(json.dumps(spec))))
 
     def stop(self) -> None:
-        """End the thread."""
+        """Stop the event loop and the thread."""
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join(5)
 
--- a/stand_ins/target.py
+++ b/stand_ins/target.py
@@ -1,9 +1,9 @@
 """Stand-in for targets: slots, speed, cold start, drain, shed, cancel.
 
-One process is one instance; it may serve an endpoint for each of several
-teams.  Each endpoint takes websocket connections of balancers, and plain
-HTTP on the same port: ``/health`` and ``/load``, which lag or lie when
-told to, and ``/set?drain=1&speed=0.5`` for tests.
+One process is one instance; it may serve one endpoint for each of several
+teams.  Each endpoint accepts websocket connections of balancers and plain
+HTTP requests on the same port: ``/health``, ``/load`` (delayed or false if
+so configured), and ``/set?drain=1&speed=0.5`` for tests.
 """
 
 import argparse
@@ -33,11 +33,11 @@
 
 @frozen
 class EndpointPlan:
-    """One endpoint as the test's plan describes it.
+    """Plan of one endpoint.
 
-    ``speed`` 1.0 is the reference; a cold endpoint is slower for its
-    first ``cold_ms``.  ``queue`` requests wait at the endpoint before it
-    sheds.
+    ``speed`` divides the run time of requests; during its first
+    ``cold_ms`` the endpoint is slower by COLD_SLOWDOWN.  It sheds requests
+    beyond ``slots`` running and ``queue`` waiting ones.
     """
 
     name: str
@@ -52,7 +52,7 @@
 
 @define(eq=False)
 class ActiveRequest:
-    """A request between its arrival and its answer."""
+    """A request that has not been answered yet."""
 
     request_id: int
     work: workload.Work
@@ -63,7 +63,7 @@
 
 @define(eq=False)
 class AttachedStream:
-    """A stream that is pushed over one connection."""
+    """A stream whose events are pushed over one connection."""
 
     nonce: int
     name: bytes
@@ -81,7 +81,10 @@
 
 
 class TargetEndpoint:
-    """Serves one endpoint."""
+    """Serves one endpoint.
+
+    ``lies`` replaces the load that ``/load`` reports; ``lag_ms`` delays it.
+    """
 
     def __init__(self, plan, recorder):
         self.plan = plan
@@ -118,7 +121,7 @@
         asyncio.create_task(self._push_forever())
 
     def on_http(self, connection, request):
-        """Answer plain HTTP; None lets a websocket connection go on."""
+        """Answer plain HTTP; return None to continue as websocket."""
         parts = urlsplit(request.path)
         if parts.path == '/health':
             return connection.respond(200, 'ok\n')
@@ -202,7 +205,7 @@
         active.task = asyncio.create_task(self._run(connection, active))
 
     def _change_pending(self, change):
-        """Note a request more or less; the load endpoint shows it late."""
+        """Change the number of requests; ``/load`` follows after lag_ms."""
         self.pending += change
         loop = asyncio.get_running_loop()
         pending = self.pending
--- a/stand_ins/workload.py
+++ b/stand_ins/workload.py
@@ -1,4 +1,8 @@
-"""Bodies of requests, answers and stream events, checkable by anyone."""
+"""Bodies of requests, answers and stream events.
+
+Answers and events are derived from ids, so that any process can check
+them.
+"""
 
 from hashlib import sha256
 
@@ -10,7 +14,7 @@
 class Work:
     """A request of the test load.
 
-    ``id`` is unique; ``work_ms`` is its time on a target of speed 1.
+    ``id`` is unique; ``work_ms`` is the run time on a target of speed 1.
     """
 
     id: str
@@ -28,12 +32,12 @@
 
 
 def decode_work(body: bytes) -> Work:
-    """Read the body of a request."""
+    """Decode the body of a request."""
     return Work(*cbor2.loads(body))
 
 
 def make_answer(work_id: str, size: int) -> bytes:
-    """Return the only right answer to a request."""
+    """Return the expected answer to a request."""
     block = sha256(work_id.encode()).digest()
     return (block * (size // len(block) + 1))[: max(size, len(block))]
 
@@ -41,13 +45,13 @@
 def stream_name(
     team: str, service: str, label: str, start_ms: int, interval_ms: int
 ) -> bytes:
-    """Return the name of a stream: an event at each interval."""
+    """Return the name of a stream with an event per interval."""
     return f'{team}|{service}|{label}|{start_ms}|{interval_ms}'.encode()
 
 
 @frozen
 class StreamPlan:
-    """What a stream's name says."""
+    """Parameters of a stream, as encoded in its name."""
 
     team: str
     service: str
@@ -55,16 +59,16 @@
     interval_ms: int
 
     def due(self, wall_ms: int) -> int:
-        """Return the sequence number of the newest event."""
+        """Return the sequence number of the newest event that is due."""
         return max(0, (wall_ms - self.start_ms) // self.interval_ms)
 
 
 def parse_stream_name(name: bytes) -> StreamPlan:
-    """Read the name of a stream."""
+    """Parse the name of a stream."""
     team, service, _label, start_ms, interval_ms = name.decode().split('|')
     return StreamPlan(team, service, int(start_ms), int(interval_ms))
 
 
 def stream_event(name: bytes, sequence: int) -> bytes:
-    """Return the only right body of an event."""
+    """Return the expected body of an event."""
     return sha256(name + sequence.to_bytes(8, 'big')).digest()
