--- a/benches/ablation.py
+++ b/benches/ablation.py
@@ -19,7 +19,14 @@
 
 ROOT = Path(__file__).parents[1]
 SOURCE = Path('src/liftmount/_internal')
-LEFT_OUT = ('.venv', '.git', 'journal', 'target', '__pycache__', '.hypothesis')
+IGNORED_NAMES = (
+    '.venv',
+    '.git',
+    'journal',
+    'target',
+    '__pycache__',
+    '.hypothesis',
+)
 
 
 @frozen
@@ -32,7 +39,7 @@
     new: str
 
 
-def _constant(name, file, constant, value, off):
+def _change_constant(name, file, constant, value, off):
     return Mechanism(
         name, file, f'\n{constant} = {value}\n', f'\n{constant} = {off}\n'
     )
@@ -40,14 +47,14 @@
 
 MECHANISMS = (
     Mechanism('nothing', 'decisions/pool.py', 'RAMP_START', 'RAMP_START'),
-    _constant(
+    _change_constant(
         'copies of openings',
         'decisions/forwarding.py',
         'OPENING_TIMEOUT_MS',
         '70',
         '60_000',
     ),
-    _constant(
+    _change_constant(
         'avoiding silent targets',
         'decisions/forwarding.py',
         'AVOID_MS',
@@ -78,16 +85,20 @@
         '    return _check_overload(state, event)\n',
         '    return []\n',
     ),
-    _constant(
+    _change_constant(
         'own domain first',
         'decisions/flow_table.py',
         'REMOTE_PENALTY',
         '0.5',
         '0.0',
     ),
-    _constant('warm-up', 'decisions/pool.py', 'WARMING_SHARE', '0.6', '1.0'),
-    _constant('lean', 'decisions/pool.py', 'MAX_BIAS_SLOTS', '0.15', '0.0'),
-    _constant(
+    _change_constant(
+        'warm-up', 'decisions/pool.py', 'WARMING_SHARE', '0.6', '1.0'
+    ),
+    _change_constant(
+        'lean', 'decisions/pool.py', 'MAX_BIAS_SLOTS', '0.15', '0.0'
+    ),
+    _change_constant(
         'load of open flows',
         'decisions/pool.py',
         'OPEN_FLOW_SHARE',
@@ -100,7 +111,7 @@
         '    work = target.in_progress + busy + idle + NEW_FLOW_SHARE\n',
         '    work = target.in_progress + idle + NEW_FLOW_SHARE\n',
     ),
-    _constant(
+    _change_constant(
         'holding of unknown tags',
         'decisions/forwarding.py',
         'PENDING_TIMEOUT_MS',
@@ -119,7 +130,7 @@
         'return [RequestHeartbeat(peers)]',
         'return []',
     ),
-    _constant(
+    _change_constant(
         'levels that read one after the other',
         'decisions/dissemination.py',
         'LEVEL_DELAY_MS',
@@ -159,18 +170,18 @@
 )
 
 
-def make_copy(mechanism: Mechanism, place: Path) -> None:
+def make_copy(mechanism: Mechanism, directory: Path) -> None:
     """Copy the tree without a mechanism; raises LookupError if not found."""
     path = ROOT / SOURCE / mechanism.file
     text = path.read_text()
     if text.count(mechanism.old) != 1 and mechanism.name != 'nothing':
         raise LookupError(f'{mechanism.name}: the place has changed')
     for name in (SOURCE.parts[0], 'bundling', 'deploy'):
-        shutil.rmtree(place / name, ignore_errors=True)
-    ignored = shutil.ignore_patterns(*LEFT_OUT)
-    shutil.copytree(ROOT, place, ignore=ignored, dirs_exist_ok=True)
+        shutil.rmtree(directory / name, ignore_errors=True)
+    ignored = shutil.ignore_patterns(*IGNORED_NAMES)
+    shutil.copytree(ROOT, directory, ignore=ignored, dirs_exist_ok=True)
     changed = text.replace(mechanism.old, mechanism.new)
-    (place / SOURCE / mechanism.file).write_text(changed)
+    (directory / SOURCE / mechanism.file).write_text(changed)
 
 
 def main(arguments) -> int:
@@ -191,7 +202,9 @@
         command = [
             part.replace('{name}', one.name) for part in options.command
         ]
-        done = subprocess.run(command, cwd=options.copies)
-        if done.returncode:
-            print(f'{one.name}: status {done.returncode}', file=sys.stderr)
+        completed = subprocess.run(command, cwd=options.copies)
+        if completed.returncode:
+            print(
+                f'{one.name}: status {completed.returncode}', file=sys.stderr
+            )
     return 0
--- a/benches/calls.py
+++ b/benches/calls.py
@@ -12,7 +12,7 @@
 from benches.silence import read_lines
 
 # Why somebody reads that was never told to.
-FIRST = 'from its start'
+INITIAL_REASON = 'from its start'
 SPAN_MS = 2_000
 
 
@@ -21,13 +21,13 @@
 
     ``lines`` are those of one balancer, in the order of time.
     """
-    reason = FIRST
+    reason = INITIAL_REASON
     kinds = Counter()
     spans = Counter()
     for line in lines:
         match line:
             case {'event': 'start'}:
-                reason = FIRST
+                reason = INITIAL_REASON
             case {'event': 'reading'}:
                 reason = line['reason']
             case {'event': 'called'}:
@@ -43,7 +43,7 @@
     """Count the calls of several balancers, as count_calls does."""
     kinds = Counter()
     spans = Counter()
-    for one in by_instance(lines).values():
+    for one in group_by_instance(lines).values():
         found = count_calls(one)
         kinds += found[0]
         spans += found[1]
@@ -67,7 +67,7 @@
     return 0
 
 
-def by_instance(lines: list[dict]) -> dict[str, list[dict]]:
+def group_by_instance(lines: list[dict]) -> dict[str, list[dict]]:
     """Return lines by the instance that wrote them.
 
     ``from`` names it where logs of several instances are in one file; the
--- a/benches/capacity.py
+++ b/benches/capacity.py
@@ -44,17 +44,17 @@
 PARTS = ('configuration', 'membership', 'ownership', 'flows', 'home')
 
 
-def template_object():
+def make_template_object():
     """Return the template of the bench's teams."""
     services = [
         {'name': f's{n}', 'mode': 'request', 'pool': 'pool'}
         for n in range(SERVICES_PER_TEAM)
     ]
     document = {'name': 'firm', 'services': services}
-    return StoredObject('template/firm', 1, written(document))
+    return StoredObject('template/firm', 1, wrap_document(document))
 
 
-def written(document):
+def wrap_document(document):
     """Return a document as the tool stores it."""
     return {
         'document': document,
@@ -64,7 +64,7 @@
     }
 
 
-def team_object(number, version):
+def make_team_object(number, version):
     """Return one team with its services and endpoints."""
     high, low = divmod(number, 200)
     document = {
@@ -85,10 +85,12 @@
             for n in range(ENDPOINTS_PER_TEAM)
         ],
     }
-    return StoredObject(f'team/team-{number}', version, written(document))
+    return StoredObject(
+        f'team/team-{number}', version, wrap_document(document)
+    )
 
 
-def claim_objects(number):
+def make_claim_objects(number):
     """Return the claims of a team's addresses."""
     high, low = divmod(number, 200)
     return [
@@ -109,10 +111,10 @@
 def measure_configuration_at(endpoints):
     """Return the cost of a start and of a change at one size."""
     teams = max(1, endpoints // ENDPOINTS_PER_TEAM)
-    objects = [template_object()]
+    objects = [make_template_object()]
     for number in range(teams):
-        objects.append(team_object(number, 2))
-        objects += claim_objects(number)
+        objects.append(make_team_object(number, 2))
+        objects += make_claim_objects(number)
     size = len(cbor2.dumps([[o.key, o.version, o.value] for o in objects]))
     gc.collect()
     before = resident_bytes()
@@ -123,11 +125,11 @@
         store.apply(item)
     view = builder.build(store)
     start_took_ms = CLOCK.precise_ms() - start_ms
-    taken = resident_bytes() - before
+    used_bytes = resident_bytes() - before
     assert len(view.services) == teams * SERVICES_PER_TEAM
 
     def change(index):
-        store.apply(team_object(index % teams, 3 + index))
+        store.apply(make_team_object(index % teams, 3 + index))
         builder.build(store)
 
     timing = time_calls(change, 3, rounds=3)
@@ -137,7 +139,7 @@
         'addresses': teams * SERVICES_PER_TEAM,
         'start_ms': round(start_took_ms, 1),
         'change_ms': round(timing.median_us / 1000, 2),
-        'memory_mib': round(taken / 1_048_576, 1),
+        'memory_mib': round(used_bytes / 1_048_576, 1),
         'cbor_bytes': size,
         'team_bytes': team_bytes,
     }
@@ -152,13 +154,13 @@
             'import json; from benches import capacity; '
             f'print(json.dumps(capacity.measure_configuration_at({endpoints})))'
         )
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, '-c', code],
             capture_output=True,
             text=True,
             check=True,
         )
-        points.append(json.loads(done.stdout))
+        points.append(json.loads(completed.stdout))
         print(points[-1])
     for name in ('start_ms', 'change_ms', 'memory_mib'):
         report_fit(name, [(p['endpoints'], p[name]) for p in points], 1_000)
@@ -284,13 +286,13 @@
             'from benches.decisions import hold_flows; '
             f'print(hold_flows({count}))'
         )
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, '-c', code],
             capture_output=True,
             text=True,
             check=True,
         )
-        points.append((count, int(done.stdout)))
+        points.append((count, int(completed.stdout)))
         print(f'{count} flows: {points[-1][1] / 1_048_576:.1f} MiB')
     report_fit('bytes', points, 1)
     return points
@@ -301,7 +303,7 @@
     service = make_service('request')
     home = make_home(service=service)
     event = open_request_flow(home, service)
-    found = {}
+    results = {}
 
     def request(index):
         arrived = events.RequestArrived(
@@ -316,7 +318,7 @@
         if index % 500 == 0:
             requests.decide(home, Tick(index))
 
-    found['request'] = time_calls(request, 3_000).median_us
+    results['request'] = time_calls(request, 3_000).median_us
     service = make_service('stream')
     home = make_home(service=service)
     target = open_flow(home, service, 0)[0].target
@@ -330,15 +332,15 @@
         alive = events.KeepaliveArrived(1, caller, index, index)
         streams.decide(home, alive)
 
-    found['push'] = time_calls(push, 3_000).median_us
-    found['keepalive'] = time_calls(keepalive, 3_000).median_us
-    print(found)
-    return found
+    results['push'] = time_calls(push, 3_000).median_us
+    results['keepalive'] = time_calls(keepalive, 3_000).median_us
+    print(results)
+    return results
 
 
 def open_request_flow(home, service):
     """Open a flow for requests; return its nonce."""
-    asked = events.FlowAsked(
+    requested = events.FlowAsked(
         service=service,
         caller=Endpoint('10.0.0.1', 1),
         flow_id=b'1',
@@ -349,7 +351,7 @@
         nonce=1,
         now_ms=0,
     )
-    requests.decide(home, asked)
+    requests.decide(home, requested)
     return 1
 
 
@@ -365,9 +367,9 @@
         'flows': measure_flows,
         'home': measure_home,
     }
-    found = {}
+    results = {}
     for name in [options.only] if options.only else PARTS:
         print(f'{name}:')
-        found[name] = measures[name]()
-    print(json.dumps(found))
+        results[name] = measures[name]()
+    print(json.dumps(results))
     return 0
--- a/benches/cold.py
+++ b/benches/cold.py
@@ -25,7 +25,7 @@
 from liftmount._internal.models.segments import WarmUp
 
 DOMAINS = ('a', 'b', 'c')
-TARGETS_EACH = 20
+TARGETS_PER_DOMAIN = 20
 SLOTS = 2
 FLOW_MS = 60
 FLOWS_PER_TARGET_S = 8
@@ -33,8 +33,8 @@
 WARM_MS = 4_000
 END_MS = 6_000
 # What the rule allows beyond the stated rate, in any second.
-OVERAGE = 1.5
-SLACK = 5
+ALLOWED_FACTOR = 1.5
+ALLOWED_EXTRA_FLOWS = 5
 # What owners send, and what the others share, where there are owners.
 OWNER_SHARE = 0.5
 OTHERS_SHARE = 0.4
@@ -89,7 +89,7 @@
         return super()._gap_ms() * RATE_SHARE / OTHERS_SHARE
 
 
-WAYS = ('no limit', 'last choice', 'owner', 'both', 'share')
+STRATEGIES = ('no limit', 'last choice', 'owner', 'both', 'share')
 VIEWS = ('alike', 'differ', 'isolated')
 
 
@@ -101,29 +101,29 @@
     ``isolated`` ones know only themselves, a third of all.
     """
 
-    way: str = 'share'
+    strategy: str = 'share'
     balancers: int = 90
     per_s: float = 10.0
     views: str = 'alike'
     all_cold: bool = False
 
-    def allowed(self) -> float:
+    def allowed_per_s(self) -> float:
         """Return what a cold target may get in any second."""
-        return self.per_s * OVERAGE + SLACK
+        return self.per_s * ALLOWED_FACTOR + ALLOWED_EXTRA_FLOWS
 
 
 @define
 class Result:
-    """What came of a case; ``most`` is the most in any second."""
+    """What came of a case; ``max_flows_per_s`` is the most in any second."""
 
-    most: int = 0
+    max_flows_per_s: int = 0
     cold_flows: int = 0
     refused: int = 0
     flows: int = 0
 
-    def used(self, case: Case) -> float:
+    def used_share(self, case: Case) -> float:
         """Return the part of the stated rates that was used."""
-        cold = TARGETS_EACH * (len(DOMAINS) if case.all_cold else 1)
+        cold = TARGETS_PER_DOMAIN * (len(DOMAINS) if case.all_cold else 1)
         stated = cold * case.per_s * WARM_MS / MS_PER_S
         return self.cold_flows / stated
 
@@ -134,7 +134,7 @@
 
     recent: deque = Factory(deque)
 
-    def take(self, now_ms):
+    def count_flow(self, now_ms):
         """Count a flow; return how many came within a second."""
         self.recent.append(now_ms)
         while self.recent[0] <= now_ms - MS_PER_S:
@@ -142,7 +142,7 @@
         return len(self.recent)
 
 
-def _members(case, rng, domain, index):
+def _make_view(case, rng, domain, index):
     """Return whom a member knows of its domain."""
     names = [f'{domain}{one}' for one in range(case.balancers // len(DOMAINS))]
     own = f'{domain}{index}'
@@ -154,10 +154,10 @@
 
 
 def _make_budget(case, rng, domain, index):
-    members = _members(case, rng, domain, index)
+    members = _make_view(case, rng, domain, index)
     fleet = Fleet(f'{domain}{index}', len(DOMAINS) * len(members))
     warm_up = WarmUp(case.per_s, WARM_MS)
-    match case.way:
+    match case.strategy:
         case 'owner':
             return OwnerBudget(warm_up, fleet, domain, members)
         case 'both':
@@ -176,16 +176,16 @@
         cold=_make_budget(case, rng, domain, index),
     )
     for one in DOMAINS:
-        for number in range(TARGETS_EACH):
+        for number in range(TARGETS_PER_DOMAIN):
             pool.put(TargetInfo(f'{one}-{number}', one, slots=SLOTS), 0)
     return pool
 
 
-def _turn_cold(case, pools):
+def _mark_cold(case, pools):
     for pool in pools:
         for name, target in pool.targets.items():
             if case.all_cold or target.failure_domain == DOMAINS[1]:
-                is_last = case.way == 'last choice'
+                is_last = case.strategy == 'last choice'
                 info = TargetInfo(
                     name,
                     target.failure_domain,
@@ -206,7 +206,7 @@
     ]
     targets = {name: _Target() for name in pools[0].targets}
     result = Result()
-    ending = deque()
+    open_flows = deque()
     gap_ms = MS_PER_S / (FLOWS_PER_TARGET_S * len(targets))
     at_ms = 0.0
     is_cold = False
@@ -215,9 +215,9 @@
         now_ms = int(at_ms)
         if not is_cold and now_ms >= COLD_AT_MS:
             is_cold = True
-            _turn_cold(case, pools)
-        while ending and ending[0][0] <= now_ms:
-            _end_ms, pool, name = ending.popleft()
+            _mark_cold(case, pools)
+        while open_flows and open_flows[0][0] <= now_ms:
+            _end_ms, pool, name = open_flows.popleft()
             pool.finished(name, now_ms)
         pool = rng.choice(pools)
         chosen = pool.choose_for_flow(now_ms)
@@ -227,11 +227,11 @@
             continue
         pool.note_opening(chosen, now_ms)
         pool.started(chosen.name, now_ms)
-        ending.append((now_ms + FLOW_MS, pool, chosen.name))
+        open_flows.append((now_ms + FLOW_MS, pool, chosen.name))
         if is_cold and now_ms < chosen.warm_until_ms:
             result.cold_flows += 1
-            got = targets[chosen.name].take(now_ms)
-            result.most = max(result.most, got)
+            received = targets[chosen.name].count_flow(now_ms)
+            result.max_flows_per_s = max(result.max_flows_per_s, received)
     return result
 
 
@@ -247,16 +247,18 @@
         for per_s in (2.0, 10.0, 50.0):
             for balancers in (9, 99, 399):
                 for views in VIEWS:
-                    for way in WAYS:
-                        case = Case(way, balancers, per_s, views, all_cold)
-                        _print(case, run(case, options.seed))
+                    for strategy in STRATEGIES:
+                        case = Case(
+                            strategy, balancers, per_s, views, all_cold
+                        )
+                        _print_row(case, run(case, options.seed))
     return 0
 
 
-def _print(case, result):
+def _print_row(case, result):
     print(
-        f'{case.way:11} {case.balancers:9} {case.per_s:4.0f} {case.views:9} '
-        f'{"all" if case.all_cold else "third":5} {result.most:4} '
-        f'{case.allowed():7.0f} {result.used(case):4.2f} '
+        f'{case.strategy:11} {case.balancers:9} {case.per_s:4.0f} {case.views:9} '
+        f'{"all" if case.all_cold else "third":5} {result.max_flows_per_s:4} '
+        f'{case.allowed_per_s():7.0f} {result.used_share(case):4.2f} '
         f'{result.refused / result.flows:7.3f}'
     )
--- a/benches/decisions.py
+++ b/benches/decisions.py
@@ -92,8 +92,10 @@
 def measure_flows_in_memory():
     """Return the bytes that so many flows take, in a fresh process."""
     command = [sys.executable, '-m', 'benches.decisions', '--flows-only']
-    done = subprocess.run(command, capture_output=True, text=True, check=True)
-    return int(done.stdout)
+    completed = subprocess.run(
+        command, capture_output=True, text=True, check=True
+    )
+    return int(completed.stdout)
 
 
 def hold_flows(count=FLOWS):
@@ -124,15 +126,15 @@
         rows[name] = measure_choice(candidates)
     document = {}
     for name, timing in rows.items():
-        least, most = timing.least_us, timing.most_us
-        text = f'{timing.median_us:8.2f} us  ({least} to {most})'
+        minimum_us, maximum_us = timing.min_us, timing.max_us
+        text = f'{timing.median_us:8.2f} us  ({minimum_us} to {maximum_us})'
         print(f'{name:24} {text}')
         document[name] = timing.median_us
     size = measure_flows_in_memory()
     document['flows_mib'] = round(size / MEBIBYTE, 1)
     document['flow_bytes'] = round(size / FLOWS)
-    shown = f'{document["flows_mib"]:8.1f} MiB'
-    print(f'{f"{FLOWS} flows":24} {shown}')
+    flows_text = f'{document["flows_mib"]:8.1f} MiB'
+    print(f'{f"{FLOWS} flows":24} {flows_text}')
     print(json.dumps(document))
     return 0
 
--- a/benches/domain_start.py
+++ b/benches/domain_start.py
@@ -29,16 +29,16 @@
 STEP_MS = 10
 TICK_MS = 50
 # From the group's start to the list of all members, as in 0016.
-JOIN_MS = 1_500
+JOIN_DURATION_MS = 1_500
 IMPORTS_MS = 200
 SEEDS = 3
 # When a newcomer asks seeds again, see decisions/bootstrap.py.
-ASK_AGAIN_MS = 1_000
+RETRY_SNAPSHOT_MS = 1_000
 ROUND_TRIP_MS = 4
 SLOW_MS = 400
 # A route and a target as the store writes them, and as members tell them.
 STORED_BYTES = {ROUTES: 150, TARGETS: 300, EVACUATIONS: 100}
-TOLD_BYTES = {ROUTES: 14, TARGETS: 35}
+SNAPSHOT_BYTES = {ROUTES: 14, TARGETS: 35}
 CALL_BYTES = 200
 REVISION = 10
 NONE_EVACUATED = Evacuated(frozenset(), REVISION)
@@ -68,11 +68,11 @@
         counts = {ROUTES: self.routes, TARGETS: self.targets}
         return counts.get(feed, 0) * STORED_BYTES[feed] + CALL_BYTES
 
-    def told_bytes(self) -> int:
+    def snapshot_bytes(self) -> int:
         """Return the size of what a member tells another one."""
         return (
-            self.routes * TOLD_BYTES[ROUTES]
-            + self.targets * TOLD_BYTES[TARGETS]
+            self.routes * SNAPSHOT_BYTES[ROUTES]
+            + self.targets * SNAPSHOT_BYTES[TARGETS]
         )
 
 
@@ -84,13 +84,13 @@
     """Bytes on their way from a source to a member."""
 
     source: str
-    size: float
+    size_bytes: float
     begins_ms: float
-    done: object
-    failed: object
-    stalls_at: float = 0.0
-    arrived: float = 0.0
-    progress_ms: float = 0.0
+    on_done: object
+    on_failed: object
+    stalls_at_bytes: float = 0.0
+    arrived_bytes: float = 0.0
+    last_progress_ms: float = 0.0
 
 
 @define
@@ -99,18 +99,18 @@
 
     name: str
     started_ms: int
-    follows: dict = Factory(dict)
-    due: dict = Factory(dict)
+    list_watches: dict = Factory(dict)
+    due_calls: dict = Factory(dict)
     transfers: dict = Factory(dict)
-    spread: dissemination.DisseminationState | None = None
+    dissemination_state: dissemination.DisseminationState | None = None
     group_ms: int | None = None
-    known_ms: dict = Factory(dict)
+    held_since_ms: dict = Factory(dict)
     received_bytes: float = 0.0
 
     @property
     def is_complete(self) -> bool:
         """Tell whether it can place flows."""
-        return len(self.known_ms) == len(FEEDS)
+        return len(self.held_since_ms) == len(FEEDS)
 
 
 class DomainStart:
@@ -121,7 +121,7 @@
         self.now_ms = 0
         self.calls = dict.fromkeys(FEEDS, 0)
         self.lists = 0
-        self.beats = []
+        self.heartbeats = []
         self.members = {}
         for index in range(case.members):
             name = f'm{index:04}'
@@ -129,7 +129,7 @@
             member = Member(name, round(300 * share))
             for feed in FEEDS:
                 state = list_watch.ListWatchState(jitter=share)
-                member.follows[feed] = state
+                member.list_watches[feed] = state
             self.members[name] = member
 
     def run(self, until_ms: int) -> None:
@@ -138,34 +138,36 @@
             self.now_ms += STEP_MS
             for member in self.members.values():
                 self._step(member)
-            self._move_bytes()
-            beats, self.beats = self.beats, []
-            for name, beat in beats:
+            self._advance_transfers()
+            heartbeats, self.heartbeats = self.heartbeats, []
+            for name, heartbeat in heartbeats:
                 member = self.members[name]
-                if member.spread is not None:
-                    event = dissemination.HeartbeatReceived(beat, self.now_ms)
-                    self._spread(member, event)
+                if member.dissemination_state is not None:
+                    event = dissemination.HeartbeatReceived(
+                        heartbeat, self.now_ms
+                    )
+                    self._decide_dissemination(member, event)
 
-    def known_at_ms(self, share: float) -> float:
+    def completed_after_ms(self, share: float) -> float:
         """Return when a share of the members held all; else infinity."""
         times = sorted(
-            max(one.known_ms.values()) - one.started_ms
+            max(one.held_since_ms.values()) - one.started_ms
             if one.is_complete
             else float('inf')
             for one in self.members.values()
         )
         return times[max(0, round(share * len(times)) - 1)]
 
-    def busiest_bytes(self) -> float:
+    def max_received_bytes(self) -> float:
         """Return the bytes that came to the member that got most."""
         return max(one.received_bytes for one in self.members.values())
 
-    def readers(self) -> int:
+    def count_readers(self) -> int:
         """Return how many members read the store now."""
         return sum(
             not state.is_paused
             for member in self.members.values()
-            for state in member.follows.values()
+            for state in member.list_watches.values()
         )
 
     # What a member does by itself.
@@ -173,50 +175,58 @@
     def _step(self, member):
         if self.now_ms < member.started_ms:
             return
-        if not member.due and not member.transfers and not member.known_ms:
+        if (
+            not member.due_calls
+            and not member.transfers
+            and not member.held_since_ms
+        ):
             for feed in FEEDS:
-                self._follow(member, feed, list_watch.ListInProgress())
-        for feed, (at_ms, call) in list(member.due.items()):
+                self._decide_list_watch(
+                    member, feed, list_watch.ListInProgress()
+                )
+        for feed, (at_ms, call) in list(member.due_calls.items()):
             if self.now_ms >= at_ms:
-                del member.due[feed]
+                del member.due_calls[feed]
                 self._call_store(member, feed, call)
         if member.group_ms is None:
-            self._meet_others(member)
+            self._join_group(member)
             return
-        if self.now_ms - member.group_ms == ASK_AGAIN_MS:
-            self._ask_seed(member, 1)
-        if self.case.segments_wait and TARGETS not in member.known_ms:
-            self._spread(member, TargetUnknown(self.now_ms))
+        if self.now_ms - member.group_ms == RETRY_SNAPSHOT_MS:
+            self._request_snapshot(member, 1)
+        if self.case.segments_wait and TARGETS not in member.held_since_ms:
+            self._decide_dissemination(member, TargetUnknown(self.now_ms))
         if self.now_ms % TICK_MS == 0:
-            if self.now_ms - member.group_ms >= JOIN_MS:
+            if self.now_ms - member.group_ms >= JOIN_DURATION_MS:
                 order = tuple(
                     one.name
                     for one in self.members.values()
                     if one.group_ms is not None
                 )
-                self._spread(member, dissemination.RelayOrderChanged(order))
-            self._spread(member, Tick(self.now_ms))
+                self._decide_dissemination(
+                    member, dissemination.RelayOrderChanged(order)
+                )
+            self._decide_dissemination(member, Tick(self.now_ms))
 
-    def _meet_others(self, member):
+    def _join_group(self, member):
         waited_ms = self.now_ms - member.started_ms
         if member.is_complete:
-            known_ms = max(member.known_ms.values())
-            if self.now_ms - known_ms < GROUP_DELAY_MS + IMPORTS_MS:
+            held_since_ms = max(member.held_since_ms.values())
+            if self.now_ms - held_since_ms < GROUP_DELAY_MS + IMPORTS_MS:
                 return
         elif waited_ms < STORE_WAIT_MS + IMPORTS_MS:
             return
         member.group_ms = self.now_ms
         share = int(member.name[1:]) / len(self.members)
-        member.spread = dissemination.DisseminationState(
+        member.dissemination_state = dissemination.DisseminationState(
             member.name,
             self.now_ms,
             share,
             process_started_ms=member.started_ms,
         )
-        self._note(member)
-        self._ask_seed(member, 0)
+        self._report_revisions(member)
+        self._request_snapshot(member, 0)
 
-    def _ask_seed(self, member, turn):
+    def _request_snapshot(self, member, turn):
         """Ask whoever answers the join for what is not known yet."""
         if member.is_complete:
             return
@@ -228,50 +238,52 @@
         if seeds:
             seed = seeds[(int(member.name[1:]) // SEEDS + turn) % len(seeds)]
             event = dissemination.PeerDiffers(seed.name, self.now_ms)
-            self._spread(member, event)
+            self._decide_dissemination(member, event)
 
-    def _follow(self, member, feed, event):
-        for action in list_watch.decide(member.follows[feed], event):
+    def _decide_list_watch(self, member, feed, event):
+        for action in list_watch.decide(member.list_watches[feed], event):
             match action:
                 case list_watch.Cancel():
-                    member.due.pop(feed, None)
+                    member.due_calls.pop(feed, None)
                     member.transfers.pop(feed, None)
                 case list_watch.Finish():
-                    member.due[feed] = (self.now_ms, action)
+                    member.due_calls[feed] = (self.now_ms, action)
                 case list_watch.List() | list_watch.Watch():
                     at_ms = self.now_ms + action.after_ms
-                    member.due[feed] = (at_ms, action)
+                    member.due_calls[feed] = (at_ms, action)
 
-    def _spread(self, member, event):
-        for action in dissemination.decide(member.spread, event):
+    def _decide_dissemination(self, member, event):
+        for action in dissemination.decide(member.dissemination_state, event):
             match action:
                 case dissemination.SendHeartbeat():
-                    self.beats += [
+                    self.heartbeats += [
                         (child, action.heartbeat) for child in action.children
                     ]
                 case dissemination.RequestHeartbeat():
                     for peer in action.peers:
-                        self._ask_for_beat(member, self.members[peer])
+                        self._request_heartbeat(member, self.members[peer])
                 case dissemination.SetStoreReader():
                     for feed in FEEDS:
-                        known = REVISION if feed in member.known_ms else None
-                        told = list_watch.Paused()
+                        known = (
+                            REVISION if feed in member.held_since_ms else None
+                        )
+                        reader_event = list_watch.Paused()
                         if action.is_reader:
-                            told = list_watch.Resumed(
+                            reader_event = list_watch.Resumed(
                                 known, action.is_fallback
                             )
-                        self._follow(member, feed, told)
+                        self._decide_list_watch(member, feed, reader_event)
                 case dissemination.PollStore():
-                    self._follow(
+                    self._decide_list_watch(
                         member, TARGETS, list_watch.RefreshRequested()
                     )
                 case dissemination.Pull():
                     self._pull(member, self.members[action.peer])
 
-    def _ask_for_beat(self, member, peer):
-        if peer.spread is not None:
+    def _request_heartbeat(self, member, peer):
+        if peer.dissemination_state is not None:
             event = dissemination.HeartbeatRequested(member.name, self.now_ms)
-            self._spread(peer, event)
+            self._decide_dissemination(peer, event)
 
     # Calls and bytes.
 
@@ -286,72 +298,86 @@
             wait_ms += SLOW_MS
         is_third = int(member.name[1:]) % 3 == 0
         if in_trouble and case.trouble == 'turns a third away' and is_third:
-            self._follow(member, feed, list_watch.CallFailed('turned away'))
+            self._decide_list_watch(
+                member, feed, list_watch.CallFailed('turned away')
+            )
             return
-        size = CALL_BYTES if is_watch else case.stored_bytes(feed)
+        size_bytes = CALL_BYTES if is_watch else case.stored_bytes(feed)
 
         def done():
             items = () if feed == EVACUATIONS else (_Version(),)
-            news = Listing(items, REVISION, may_lag=True)
+            update = Listing(items, REVISION, may_lag=True)
             event = list_watch.Listed(REVISION)
             if isinstance(call, list_watch.Finish):
                 event = list_watch.Finished(REVISION)
             if is_watch:
-                news = Delta((), (), REVISION, REVISION)
+                update = Delta((), (), REVISION, REVISION)
                 event = list_watch.Changed(REVISION, 0)
-            self._know(member, [feed])
-            if member.spread is not None:
-                answered = dissemination.StoreAnswered(feed, news, self.now_ms)
-                self._spread(member, answered)
-                self._note(member)
-            self._follow(member, feed, event)
+            self._record_held(member, [feed])
+            if member.dissemination_state is not None:
+                answered = dissemination.StoreAnswered(
+                    feed, update, self.now_ms
+                )
+                self._decide_dissemination(member, answered)
+                self._report_revisions(member)
+            self._decide_list_watch(member, feed, event)
 
         def failed():
-            self._follow(member, feed, list_watch.CallFailed('no progress'))
+            self._decide_list_watch(
+                member, feed, list_watch.CallFailed('no progress')
+            )
 
-        transfer = Transfer(STORE, size, self.now_ms + wait_ms, done, failed)
+        transfer = Transfer(
+            STORE, size_bytes, self.now_ms + wait_ms, done, failed
+        )
         if in_trouble and case.trouble == 'stops halfway':
-            transfer.stalls_at = size / 2
+            transfer.stalls_at_bytes = size_bytes / 2
         member.transfers[feed] = transfer
 
     def _pull(self, member, peer):
         if not peer.is_complete:
-            self._spread(member, dissemination.PullEnded(peer.name))
+            self._decide_dissemination(
+                member, dissemination.PullEnded(peer.name)
+            )
             return
 
         def ended():
-            self._spread(member, dissemination.PullEnded(peer.name))
+            self._decide_dissemination(
+                member, dissemination.PullEnded(peer.name)
+            )
 
         def done():
             ended()
-            self._know(member, FEEDS)
-            self._note(member)
+            self._record_held(member, FEEDS)
+            self._report_revisions(member)
             for feed in FEEDS:
-                self._follow(member, feed, list_watch.ListKnown(REVISION))
+                self._decide_list_watch(
+                    member, feed, list_watch.ListKnown(REVISION)
+                )
 
         transfer = Transfer(
             peer.name,
-            self.case.told_bytes(),
+            self.case.snapshot_bytes(),
             self.now_ms + ROUND_TRIP_MS,
             done,
             ended,
         )
         member.transfers['pull'] = transfer
 
-    def _know(self, member, feeds):
+    def _record_held(self, member, feeds):
         for feed in feeds:
-            member.known_ms.setdefault(feed, self.now_ms)
+            member.held_since_ms.setdefault(feed, self.now_ms)
 
-    def _note(self, member):
+    def _report_revisions(self, member):
         event = dissemination.RevisionsChanged(
-            REVISION if TARGETS in member.known_ms else 0,
-            REVISION if ROUTES in member.known_ms else 0,
-            1 if ROUTES in member.known_ms else 0,
-            NONE_EVACUATED if EVACUATIONS in member.known_ms else None,
+            REVISION if TARGETS in member.held_since_ms else 0,
+            REVISION if ROUTES in member.held_since_ms else 0,
+            1 if ROUTES in member.held_since_ms else 0,
+            NONE_EVACUATED if EVACUATIONS in member.held_since_ms else None,
         )
-        dissemination.decide(member.spread, event)
+        dissemination.decide(member.dissemination_state, event)
 
-    def _move_bytes(self):
+    def _advance_transfers(self):
         case = self.case
         moving = [
             (member, key, one)
@@ -359,38 +385,40 @@
             for key, one in member.transfers.items()
             if self.now_ms >= one.begins_ms
         ]
-        sent = {}
-        got = {}
+        sending = {}
+        receiving = {}
         for member, _key, one in moving:
-            sent[one.source] = sent.get(one.source, 0) + 1
-            got[member.name] = got.get(member.name, 0) + 1
+            sending[one.source] = sending.get(one.source, 0) + 1
+            receiving[member.name] = receiving.get(member.name, 0) + 1
         for member, key, one in moving:
             source_mbps = case.link_mbps
             if one.source == STORE:
                 source_mbps = case.store_mbps
             rate_mbps = min(
-                source_mbps / sent[one.source],
-                case.link_mbps / got[member.name],
+                source_mbps / sending[one.source],
+                case.link_mbps / receiving[member.name],
             )
             # What ended before may have cancelled it.
             if member.transfers.get(key) is one:
-                self._move(member, key, one, rate_mbps * 125 * STEP_MS)
-
-    def _move(self, member, key, one, step_bytes):
-        if not one.progress_ms:
-            one.progress_ms = self.now_ms
-        end = one.stalls_at or one.size
-        moved = min(step_bytes, end - one.arrived)
-        one.arrived += moved
+                self._advance_transfer(
+                    member, key, one, rate_mbps * 125 * STEP_MS
+                )
+
+    def _advance_transfer(self, member, key, one, step_bytes):
+        if not one.last_progress_ms:
+            one.last_progress_ms = self.now_ms
+        end = one.stalls_at_bytes or one.size_bytes
+        moved = min(step_bytes, end - one.arrived_bytes)
+        one.arrived_bytes += moved
         member.received_bytes += moved
         if moved:
-            one.progress_ms = self.now_ms
-        if one.arrived >= one.size:
+            one.last_progress_ms = self.now_ms
+        if one.arrived_bytes >= one.size_bytes:
             del member.transfers[key]
-            one.done()
-        elif self.now_ms - one.progress_ms >= PROGRESS_TIMEOUT_MS:
+            one.on_done()
+        elif self.now_ms - one.last_progress_ms >= PROGRESS_TIMEOUT_MS:
             del member.transfers[key]
-            one.failed()
+            one.on_failed()
 
 
 @frozen
@@ -430,9 +458,9 @@
         print(
             f'{case.members:7} {case.routes:6} {case.link_mbps:5} '
             f'{case.trouble:20}'
-            f'{start.known_at_ms(0.9) / 1_000:6.2f} '
-            f'{start.known_at_ms(1.0) / 1_000:6.2f} '
-            f'{sum(start.calls.values()):6} {start.lists:5} {start.readers():7} '
-            f'{start.busiest_bytes() / 1e6:5.2f}'
+            f'{start.completed_after_ms(0.9) / 1_000:6.2f} '
+            f'{start.completed_after_ms(1.0) / 1_000:6.2f} '
+            f'{sum(start.calls.values()):6} {start.lists:5} {start.count_readers():7} '
+            f'{start.max_received_bytes() / 1e6:5.2f}'
         )
     return 0
--- a/benches/entry.py
+++ b/benches/entry.py
@@ -49,7 +49,7 @@
     opening_us: float
 
 
-def make_entry(number):
+def make_target(number):
     """Return a target of some domain and service."""
     return TargetEntry(
         name=f'i-{number:x}',
@@ -61,14 +61,14 @@
     )
 
 
-class Entry:
+class EntryBalancer:
     """The decisions of one balancer, and its clock."""
 
     def __init__(self, targets):
         self.now_ms = SECOND_MS
         self.state = ForwardingState('d0', 60_000)
         self.directory = directory.DirectoryState()
-        entries = tuple(make_entry(number + 1) for number in range(targets))
+        entries = tuple(make_target(number + 1) for number in range(targets))
         listed = directory.TargetsListed(entries, 1, self.now_ms)
         for action in directory.decide(self.directory, listed):
             put = flows.TargetPut(action.entry, self.now_ms)
@@ -87,7 +87,7 @@
         settled = flows.TargetsSettled(self.now_ms)
         forwarding.decide(self.state, settled)
 
-    def live(self, _index=0):
+    def run_second(self, _index=0):
         """Let a second pass, as the packet service does."""
         for _ in range(SECOND_MS // TICK_MS):
             self.now_ms += TICK_MS
@@ -98,19 +98,19 @@
             if self.now_ms % OVERFLOW_CHECK_MS == 0:
                 domain_loads(self.state, 1, self.now_ms)
 
-    def give_evidence(self):
+    def add_evidence(self):
         """Have each target doubted once, and answer."""
         health = self.state.health
         for name in self.state.tags.entries:
-            silent = target_health.TargetUnresponsive(name, self.now_ms)
-            target_health.decide(health, silent)
+            unresponsive = target_health.TargetUnresponsive(name, self.now_ms)
+            target_health.decide(health, unresponsive)
             answered = target_health.ProbeResult.ANSWERED
             ended = target_health.ProbeEnded(
                 name, answered, self.now_ms, self.now_ms
             )
             target_health.decide(health, ended)
 
-    def open(self, index):
+    def open_flow(self, index):
         """Open a flow; time passes as between openings."""
         self.now_ms += SECOND_MS // OPENINGS_PER_S
         segment = Segment(
@@ -132,11 +132,11 @@
 
 def measure(targets: int) -> Cost:
     """Return the figures at one number of targets."""
-    entry = Entry(targets)
-    idle = time_calls(entry.live, SECONDS)
-    opening = time_calls(entry.open, OPENINGS)
-    entry.give_evidence()
-    after = time_calls(entry.live, SECONDS)
+    entry = EntryBalancer(targets)
+    idle = time_calls(entry.run_second, SECONDS)
+    opening = time_calls(entry.open_flow, OPENINGS)
+    entry.add_evidence()
+    after = time_calls(entry.run_second, SECONDS)
     return Cost(
         targets,
         round(idle.median_us / 1_000, 2),
--- a/benches/fakes.py
+++ b/benches/fakes.py
@@ -15,7 +15,7 @@
     _heap: list = Factory(list)
     _count: int = 0
 
-    def at(self, time_ms: float, call) -> None:
+    def schedule(self, time_ms: float, call) -> None:
         """Call ``call()`` at a time."""
         self._count += 1
         heapq.heappush(self._heap, (time_ms, self._count, call))
@@ -46,7 +46,7 @@
     down: bool = False
     leaving: bool = False
     shed_share: float = 0.0
-    draw: object = None
+    draw_random: object = None
     running: int = 0
     queue: deque = Factory(deque)
     work_done_ms: float = 0.0
@@ -59,10 +59,10 @@
 
     def submit(self, work_ms, deadline_at_ms, on_answer, on_refusal):
         """Take a request; one of the callbacks is called later."""
-        sheds = self.shed_share and self.draw() < self.shed_share
-        full = self.load >= self.slots + self.queue_limit
-        if self.down or sheds or full:
-            self._soon(on_refusal)
+        is_shed = self.shed_share and self.draw_random() < self.shed_share
+        is_full = self.load >= self.slots + self.queue_limit
+        if self.down or is_shed or is_full:
+            self._call_soon(on_refusal)
             return
         item = (work_ms, deadline_at_ms, on_answer, on_refusal)
         if self.running < self.slots:
@@ -70,13 +70,13 @@
         else:
             self.queue.append(item)
 
-    def _soon(self, call):
-        self.timeline.at(self.timeline.now_ms + 1.0, call)
+    def _call_soon(self, call):
+        self.timeline.schedule(self.timeline.now_ms + 1.0, call)
 
     def _start(self, item):
         work_ms, deadline_at_ms, on_answer, on_refusal = item
         if self.timeline.now_ms >= deadline_at_ms:
-            self._soon(on_refusal)
+            self._call_soon(on_refusal)
             return
         self.running += 1
         self.work_done_ms += work_ms
@@ -89,4 +89,4 @@
                 self._start(self.queue.popleft())
             on_answer()
 
-        self.timeline.at(end_ms, finish)
+        self.timeline.schedule(end_ms, finish)
--- a/benches/losses.py
+++ b/benches/losses.py
@@ -15,9 +15,9 @@
 
 WINDOW_S = 2.0
 # How much longer than its end something is felt: clients' last retries.
-FELT_S = 2.0
+AFTER_EFFECT_S = 2.0
 # Share of a window's worth below which a loss is not shown.
-LEAST_LOSS = 0.005
+MIN_LOSS_SHARE = 0.005
 UNKNOWN = 'nothing known'
 
 
@@ -26,7 +26,7 @@
     """A window in which worth was lost, as a share of what it could earn."""
 
     from_s: float
-    asked: int
+    requests: int
     late: int
     unserved: int
     share: float
@@ -38,7 +38,8 @@
     found = [
         one
         for one in events
-        if one['at_s'] < from_s + WINDOW_S and from_s < one['to_s'] + FELT_S
+        if one['at_s'] < from_s + WINDOW_S
+        and from_s < one['to_s'] + AFTER_EFFECT_S
     ]
     if not found:
         return UNKNOWN
@@ -51,7 +52,7 @@
     losses = []
     for window in report['windows']:
         share = 1.0 - window['worth']
-        if share < LEAST_LOSS:
+        if share < MIN_LOSS_SHARE:
             continue
         from_s = float(window['name'])
         unserved = window['refused'] + window['failed']
@@ -69,11 +70,11 @@
     print(f'{path.name}: worth {report["G"]:.3f}')
     print(f'{"from s":>8} {"asked":>6} {"late":>5} {"lost":>5} of day  cause')
     for one in read_losses(report):
-        of_day = one.share * one.asked / total
-        sums[one.cause] += of_day
+        share_of_day = one.share * one.requests / total
+        sums[one.cause] += share_of_day
         print(
-            f'{one.from_s:8.0f} {one.asked:6} {one.late:5} '
-            f'{one.unserved:5} {of_day:.4f}  {one.cause}'
+            f'{one.from_s:8.0f} {one.requests:6} {one.late:5} '
+            f'{one.unserved:5} {share_of_day:.4f}  {one.cause}'
         )
     for name, _amount, price in report['prices']:
         if price >= 0.0005:
--- a/benches/path.py
+++ b/benches/path.py
@@ -21,11 +21,11 @@
 from stand_ins.plans import ALL_PLANS
 
 SETTLE_S = 4.0
-SLOW_MS = 500
+SLOW_PLATFORM_MS = 500
 CHANGES = 5
 
 
-def sample(deployment):
+def read_counters(deployment):
     """Return platform calls by address, and control bytes by balancer."""
     calls = call(deployment.platform, '/calls')
     control = {
@@ -39,9 +39,9 @@
 
 def measure_steady(deployment, seconds):
     """Return calls and control bytes a second while nothing changes."""
-    start_s, calls, control = sample(deployment)
+    start_s, calls, control = read_counters(deployment)
     time.sleep(seconds)
-    end_s, later_calls, later_control = sample(deployment)
+    end_s, later_calls, later_control = read_counters(deployment)
     took_s = end_s - start_s
     # The tool calls from other addresses.
     by_balancer = {
@@ -125,19 +125,19 @@
     history.measure_imbalance(
         report, target_records, deployment.target_plans, set(), since_ms
     )
-    took = sorted(
+    latencies_ms = sorted(
         one['took_ms'] for one in caller_records if one['event'] == 'request'
     )
     changes = [measure_change(deployment, n) for n in range(CHANGES)]
-    deployment.platform_faults(delay_ms=SLOW_MS)
+    deployment.platform_faults(delay_ms=SLOW_PLATFORM_MS)
     slow = [measure_change(deployment, CHANGES + n) for n in range(CHANGES)]
     return document | {
         'faults': report.faults(),
         'requests': report.requests,
         'may_have_run_share': report.may_have_run_share,
         'imbalance_by_pool': report.imbalance_by_pool,
-        'p50_ms': took[len(took) // 2],
-        'p99_ms': took[int(len(took) * 0.99)],
+        'p50_ms': latencies_ms[len(latencies_ms) // 2],
+        'p99_ms': latencies_ms[int(len(latencies_ms) * 0.99)],
         'in_force_ms': sorted(changes),
         'in_force_slow_platform_ms': sorted(slow),
     }
--- a/benches/policies.py
+++ b/benches/policies.py
@@ -54,9 +54,9 @@
         self.done = done
         limits = LimitSettings()
         self.home = make_home_state(limits, targets[0].domain)
-        self.services = {}
+        self.nonces = {}
         self.requests = {}
-        self.numbers = 0
+        self.last_number = 0
         self.pool = self.home.pool_state('team/pool').pool
         self.update_targets()
         self._tick()
@@ -70,12 +70,12 @@
         self.pool.update(infos, int(self.timeline.now_ms))
 
     def _tick(self):
-        self._feed(Tick(int(self.timeline.now_ms)))
-        self.timeline.at(self.timeline.now_ms + TICK_MS, self._tick)
+        self._handle_event(Tick(int(self.timeline.now_ms)))
+        self.timeline.schedule(self.timeline.now_ms + TICK_MS, self._tick)
 
-    def _nonce(self, priority, deadline_ms):
-        if priority not in self.services:
-            nonce = len(self.services) + 1
+    def _ensure_flow(self, priority, deadline_ms):
+        if priority not in self.nonces:
+            nonce = len(self.nonces) + 1
             service = Service(
                 team='team',
                 name=priority,
@@ -88,8 +88,8 @@
                 max_queue=256,
                 networks=(ip_network('10.0.0.0/8'),),
             )
-            self.services[priority] = nonce
-            asked = events.FlowAsked(
+            self.nonces[priority] = nonce
+            requested = events.FlowAsked(
                 service=service,
                 caller=CALLER,
                 flow_id=str(nonce).encode(),
@@ -100,25 +100,25 @@
                 nonce=nonce,
                 now_ms=int(self.timeline.now_ms),
             )
-            self._feed(asked)
-        return self.services[priority]
+            self._handle_event(requested)
+        return self.nonces[priority]
 
     def submit(self, request):
         """Take one request."""
-        nonce = self._nonce(request.priority, request.deadline_ms)
-        self.numbers += 1
-        self.requests[nonce, self.numbers] = request
+        nonce = self._ensure_flow(request.priority, request.deadline_ms)
+        self.last_number += 1
+        self.requests[nonce, self.last_number] = request
         arrived = events.RequestArrived(
             nonce=nonce,
             caller=CALLER,
-            number=self.numbers,
+            number=self.last_number,
             deadline_ms=int(request.deadline_ms),
             body=b'',
             now_ms=int(self.timeline.now_ms),
         )
-        self._feed(arrived)
+        self._handle_event(arrived)
 
-    def _feed(self, event):
+    def _handle_event(self, event):
         for action in request_decisions.decide(self.home, event):
             match action:
                 case act.SendRequest():
@@ -134,12 +134,12 @@
         target = self.targets[action.target]
         request.sends += 1
         self.counters['sends'] += 1
-        note_past_slots(self.counters, target, self.targets.values())
+        count_past_slots(self.counters, target, self.targets.values())
 
         def on_answer():
             now_ms = int(self.timeline.now_ms)
             event = events.TargetAnswered(action.request_id, b'', now_ms)
-            self._feed(event)
+            self._handle_event(event)
 
         def on_refusal():
             now_ms = int(self.timeline.now_ms)
@@ -149,13 +149,13 @@
                 event = events.TargetRefused(
                     action.request_id, 100, False, now_ms
                 )
-            self._feed(event)
+            self._handle_event(event)
 
         deadline_at_ms = self.timeline.now_ms + action.deadline_ms
         target.submit(request.work_ms, deadline_at_ms, on_answer, on_refusal)
 
     def _reply(self, action):
-        nonce = self.services[self._priority_of(action)]
+        nonce = self.nonces[self._priority_of(action)]
         request = self.requests.pop((nonce, action.number), None)
         if request is not None:
             reason = action.outcome.reason
@@ -164,18 +164,18 @@
 
     def _priority_of(self, action):
         port = action.address.port
-        return next(k for k, nonce in self.services.items() if nonce == port)
+        return next(k for k, nonce in self.nonces.items() if nonce == port)
 
 
-def note_past_slots(counters, target, targets):
+def count_past_slots(counters, target, targets):
     """Count a send to a full target while another had a free slot."""
     if target.load < target.slots:
         return
-    free = any(
+    has_free_slot = any(
         one.load < one.slots and not one.down and not one.leaving
         for one in targets
     )
-    if free:
+    if has_free_slot:
         counters['past_slots'] += 1
 
 
@@ -205,9 +205,9 @@
     def submit(self, request):
         """Take one request at one of the balancers."""
         state = self.states[request.number % BALANCERS]
-        self._try(state, request)
+        self._send_to_target(state, request)
 
-    def _try(self, state, request):
+    def _send_to_target(self, state, request):
         allowed = [
             one
             for one in self.targets
@@ -221,7 +221,7 @@
         self.counters['sends'] += 1
         if request.sends > 1:
             self.counters['retries'] += 1
-        note_past_slots(self.counters, target, self.targets)
+        count_past_slots(self.counters, target, self.targets)
         state[target.name] = state.get(target.name, 0) + 1
 
         def on_answer():
@@ -231,7 +231,7 @@
         def on_refusal():
             state[target.name] -= 1
             request.tried.add(target.name)
-            self._try(state, request)
+            self._send_to_target(state, request)
 
         deadline_at_ms = request.arrived_ms + request.deadline_ms
         target.submit(request.work_ms, deadline_at_ms, on_answer, on_refusal)
--- a/benches/policy.py
+++ b/benches/policy.py
@@ -24,12 +24,12 @@
 FAST = 4.0
 SLOW = 1.0
 SPEEDS = (FAST, SLOW, SLOW, FAST, SLOW, SLOW, FAST)
-WARM_MS = 10_000.0
+WARM_UP_MS = 10_000.0
 RUN_MS = 40_000.0
 WORK_MS = 200.0
-SPREAD = 0.5
-MIX = (('urgent', 0.5, 4_000), ('normal', 0.2, 8_000))
-MIX += (('may-wait', 0.3, 20_000),)
+WORK_VARIATION = 0.5
+PRIORITY_MIX = (('urgent', 0.5, 4_000), ('normal', 0.2, 8_000))
+PRIORITY_MIX += (('may-wait', 0.3, 20_000),)
 JOBS = 8
 
 
@@ -47,7 +47,7 @@
     speeds: tuple = SPEEDS
     domains: tuple = ('a', 'b', 'c')
     load: float = 0.8
-    mix: tuple = MIX
+    mix: tuple = PRIORITY_MIX
     events: tuple = Factory(tuple)
 
 
@@ -61,14 +61,17 @@
         for load in (0.5, 0.7, 0.8, 0.95, 1.2):
             name = f'{user} {round(load * 100)} %'
             found.append(Scenario(name, slots, domains=domains, load=load))
-    middle = WARM_MS + 5_000
-    later = middle + 12_000
+    middle_ms = WARM_UP_MS + 5_000
+    later_ms = middle_ms + 12_000
     found += [
         Scenario('slots of 1 to 5', slots=(1, 5, 2, 3, 4, 1, 2)),
         Scenario(
             'one slows 10 times',
             load=0.6,
-            events=((middle, 'speed', (0, 0.4)), (later, 'speed', (0, 4.0))),
+            events=(
+                (middle_ms, 'speed', (0, 0.4)),
+                (later_ms, 'speed', (0, 4.0)),
+            ),
         ),
         Scenario(
             'half start cold',
@@ -79,20 +82,23 @@
             'one flaps',
             load=0.6,
             events=tuple(
-                (WARM_MS + 2_000 * n, 'down', (3, n % 2 == 0))
+                (WARM_UP_MS + 2_000 * n, 'down', (3, n % 2 == 0))
                 for n in range(13)
             ),
         ),
-        Scenario('drain at 80 %', events=((middle, 'leaving', (1, True)),)),
+        Scenario('drain at 80 %', events=((middle_ms, 'leaving', (1, True)),)),
         Scenario(
             'a domain is lost',
             load=0.5,
-            events=tuple((middle, 'down', (n, True)) for n in (2, 5)),
+            events=tuple((middle_ms, 'down', (n, True)) for n in (2, 5)),
         ),
         Scenario(
             'burst of 5 times',
             load=0.4,
-            events=((middle, 'load', 2.0), (middle + 2_000, 'load', 0.4)),
+            events=(
+                (middle_ms, 'load', 2.0),
+                (middle_ms + 2_000, 'load', 0.4),
+            ),
         ),
         Scenario(
             'downloads against urgent',
@@ -103,15 +109,15 @@
             'retry storm',
             load=0.8,
             events=tuple(
-                (middle, 'shed', (n, 0.5)) for n in range(len(SPEEDS))
+                (middle_ms, 'shed', (n, 0.5)) for n in range(len(SPEEDS))
             )
-            + tuple((later, 'shed', (n, 0.0)) for n in range(len(SPEEDS))),
+            + tuple((later_ms, 'shed', (n, 0.0)) for n in range(len(SPEEDS))),
         ),
     ]
     return found
 
 
-def slots_of(scenario, index):
+def get_slots(scenario, index):
     """Return the slots of one target."""
     if isinstance(scenario.slots, int):
         return scenario.slots
@@ -130,10 +136,10 @@
             FakeTarget(
                 name=f't{index}',
                 domain=scenario.domains[index % len(scenario.domains)],
-                slots=slots_of(scenario, index),
+                slots=get_slots(scenario, index),
                 speed=speed,
                 timeline=self.timeline,
-                draw=faults.random,
+                draw_random=faults.random,
             )
             for index, speed in enumerate(scenario.speeds)
         ]
@@ -143,58 +149,60 @@
         self.ended = []
         self.number = 0
         self.policy = policy_class(
-            self.timeline, self.targets, self.counters, self._done
+            self.timeline, self.targets, self.counters, self._record_end
         )
-        self.present = set(range(len(self.targets)))
-        self.marks = {}
+        self.unaffected = set(range(len(self.targets)))
+        self.work_before_ms = {}
         self.offered_ms = 0.0
 
     def run(self):
         """Run it and return the figures."""
         for time_ms, kind, argument in self.scenario.events:
-            self.timeline.at(
+            self.timeline.schedule(
                 time_ms,
-                lambda k=kind, a=argument: self._happen(k, a),
+                lambda k=kind, a=argument: self._apply_event(k, a),
             )
-        self._arrive()
-        self.timeline.at(WARM_MS, self._mark)
+        self._schedule_arrival()
+        self.timeline.schedule(WARM_UP_MS, self._start_measurement)
         self.timeline.run(RUN_MS)
         work = {
-            one.name: one.work_done_ms - self.marks[one.name]
+            one.name: one.work_done_ms - self.work_before_ms[one.name]
             for one in self.targets
         }
         self.timeline.run(RUN_MS + 30_000)
-        return self._figures(work)
+        return self._compute_figures(work)
 
-    def _mark(self):
-        self.marks = {one.name: one.work_done_ms for one in self.targets}
+    def _start_measurement(self):
+        self.work_before_ms = {
+            one.name: one.work_done_ms for one in self.targets
+        }
         self.counters.clear()
 
-    def _happen(self, kind, argument):
+    def _apply_event(self, kind, argument):
         match kind:
             case 'speed':
                 index, speed = argument
                 self.targets[index].speed = speed
-                self.present.discard(index)
+                self.unaffected.discard(index)
             case 'cold':
                 index, length_ms = argument
                 target = self.targets[index]
                 speed = target.speed
                 target.speed = speed / 4
-                self.present.discard(index)
+                self.unaffected.discard(index)
 
                 def warm():
                     target.speed = speed
 
-                self.timeline.at(length_ms, warm)
+                self.timeline.schedule(length_ms, warm)
             case 'down':
                 index, target_down = argument
                 self.targets[index].down = target_down
-                self.present.discard(index)
+                self.unaffected.discard(index)
             case 'leaving':
                 index, leaving = argument
                 self.targets[index].leaving = leaving
-                self.present.discard(index)
+                self.unaffected.discard(index)
                 self.policy.update_targets()
             case 'load':
                 self.load = argument
@@ -202,16 +210,16 @@
                 index, share = argument
                 self.targets[index].shed_share = share
 
-    def _arrive(self):
+    def _schedule_arrival(self):
         if self.timeline.now_ms >= RUN_MS:
             return
         per_ms = self.load * self.capacity / WORK_MS
-        self.timeline.at(
+        self.timeline.schedule(
             self.timeline.now_ms + self.random.expovariate(per_ms),
-            self._arrive_one,
+            self._submit_request,
         )
 
-    def _arrive_one(self):
+    def _submit_request(self):
         shares = [share for _name, share, _deadline in self.scenario.mix]
         chosen = self.random.choices(self.scenario.mix, shares)[0]
         priority, _share, deadline_ms = chosen
@@ -220,49 +228,49 @@
             number=self.number,
             priority=priority,
             work_ms=self.random.gammavariate(
-                1 / SPREAD**2, WORK_MS * SPREAD**2
+                1 / WORK_VARIATION**2, WORK_MS * WORK_VARIATION**2
             ),
             arrived_ms=self.timeline.now_ms,
             deadline_ms=deadline_ms,
         )
-        if self.timeline.now_ms >= WARM_MS:
+        if self.timeline.now_ms >= WARM_UP_MS:
             self.offered_ms += request.work_ms
         self.policy.submit(request)
-        self._arrive()
+        self._schedule_arrival()
 
-    def _done(self, request, verdict, reason):
+    def _record_end(self, request, verdict, reason):
         request.ended_ms = self.timeline.now_ms
         took_ms = request.ended_ms - request.arrived_ms
         if verdict == 'ran' and took_ms > request.deadline_ms:
             verdict, reason = 'late', 'deadline_passed'
         request.verdict = verdict
         request.reason = reason
-        if request.arrived_ms >= WARM_MS:
+        if request.arrived_ms >= WARM_UP_MS:
             self.ended.append(request)
 
-    def _figures(self, work):
+    def _compute_figures(self, work):
         shares = [
             work[one.name] / (one.slots * one.speed)
             for index, one in enumerate(self.targets)
-            if index in self.present
+            if index in self.unaffected
         ]
         ran = [one for one in self.ended if one.verdict == 'ran']
         done_ms = sum(one.work_ms for one in ran)
-        room_ms = self.capacity * (RUN_MS - WARM_MS)
-        best_ms = min(self.offered_ms, room_ms)
+        capacity_ms = self.capacity * (RUN_MS - WARM_UP_MS)
+        achievable_ms = min(self.offered_ms, capacity_ms)
         waiting = [one for one in self.ended if one.priority == 'may-wait']
         refused = Counter(
             one.reason for one in self.ended if one.verdict != 'ran'
         )
         sends = max(1, self.counters['sends'])
-        slowed = self._share_of_slowed()
+        slowed = self._compute_slowed_shares()
         figures = {
             **slowed,
             'imbalance': max(shares) / (sum(shares) / len(shares)),
             'broken': sum(
                 one.verdict in ('late', 'may_have_run') for one in self.ended
             ),
-            'goodput_share': done_ms / best_ms,
+            'goodput_share': done_ms / achievable_ms,
             'retries': self.counters['retries'] / sends,
             'past_slots': self.counters['past_slots'] / sends,
             'may_wait_share': sum(one.verdict == 'ran' for one in waiting)
@@ -270,16 +278,16 @@
             'refused': dict(refused),
         }
         for priority, _share, _deadline in self.scenario.mix:
-            took = sorted(
+            latencies_ms = sorted(
                 one.ended_ms - one.arrived_ms
                 for one in ran
                 if one.priority == priority
             )
-            figures[f'p50_{priority}_ms'] = _quantile(took, 0.5)
-            figures[f'p99_{priority}_ms'] = _quantile(took, 0.99)
+            figures[f'p50_{priority}_ms'] = _quantile(latencies_ms, 0.5)
+            figures[f'p99_{priority}_ms'] = _quantile(latencies_ms, 0.99)
         return figures
 
-    def _share_of_slowed(self):
+    def _compute_slowed_shares(self):
         """Return the share of work that a slowed target got, of its fair.
 
         From 5 s after it slowed until it recovered, and in the last 5 s.
@@ -291,13 +299,17 @@
         fast = self.scenario.speeds[index]
         others = sum(self.scenario.speeds) - fast
         return {
-            'slowed_share': self._share(index, slowed_ms + 5_000, back_ms)
+            'slowed_share': self._compute_share(
+                index, slowed_ms + 5_000, back_ms
+            )
             / (speed / (others + speed)),
-            'recovered_share': self._share(index, RUN_MS - 5_000, RUN_MS)
+            'recovered_share': self._compute_share(
+                index, RUN_MS - 5_000, RUN_MS
+            )
             / (fast / (others + fast)),
         }
 
-    def _share(self, index, since_ms, until_ms):
+    def _compute_share(self, index, since_ms, until_ms):
         started = [
             sum(
                 work_ms
--- a/benches/setting.py
+++ b/benches/setting.py
@@ -83,7 +83,7 @@
 def open_flow(home, service, index, now_ms=0):
     """Open one stream; return the actions."""
     caller = Endpoint(f'10.{index >> 16 & 255}.{index >> 8 & 255}.1', index)
-    asked = events.FlowAsked(
+    requested = events.FlowAsked(
         service=service,
         caller=caller,
         flow_id=index.to_bytes(8, 'big'),
@@ -94,4 +94,4 @@
         nonce=index + 1,
         now_ms=now_ms,
     )
-    return streams.decide(home, asked)
+    return streams.decide(home, requested)
--- a/benches/silence.py
+++ b/benches/silence.py
@@ -16,7 +16,7 @@
 from attrs import Factory
 
 # Verdicts on a target that come this much later belong to another silence.
-APART_MS = 3_000
+MIN_GAP_MS = 3_000
 
 
 @define
@@ -24,18 +24,18 @@
     """One time during which a target was found dead."""
 
     target: str
-    doubted_ms: int
-    judged_ms: list[int] = Factory(list)
+    suspected_ms: int
+    verdicts_ms: list[int] = Factory(list)
     resets: int = 0
 
 
 @define
-class Table:
+class SilenceTable:
     """What the lines tell, in the order of their times."""
 
     silences: list[Silence] = Factory(list)
-    doubts: dict[str, int] = Factory(dict)
-    dispelled: int = 0
+    suspicions: dict[str, int] = Factory(dict)
+    refuted: int = 0
     signs: Counter = Factory(Counter)
     probes: Counter = Factory(Counter)
 
@@ -44,29 +44,32 @@
         match line:
             case {'event': 'doubted_by_flow'}:
                 self.signs[line['sign']] += 1
-                self.doubts.setdefault(line['target'], line['at_ms'])
+                self.suspicions.setdefault(line['target'], line['at_ms'])
             case {'event': 'ended', 'part': 'probes'}:
                 self.probes[line['result']] += 1
                 if line['result'] == 'answered':
-                    known = self.doubts.pop(line['target'], None)
-                    self.dispelled += known is not None
+                    suspected_ms = self.suspicions.pop(line['target'], None)
+                    self.refuted += suspected_ms is not None
             case {'event': 'dead'}:
-                self._judged(line)
+                self._add_verdict(line)
             case {'event': 'reset', 'reason': 'target_dead'}:
                 for one in reversed(self.silences):
                     if one.target == line['target']:
                         one.resets += 1
                         break
 
-    def _judged(self, line):
+    def _add_verdict(self, line):
         target = line['target']
         now_ms = line['at_ms']
         for one in reversed(self.silences):
-            if one.target == target and now_ms - one.judged_ms[-1] < APART_MS:
-                one.judged_ms.append(now_ms)
+            if (
+                one.target == target
+                and now_ms - one.verdicts_ms[-1] < MIN_GAP_MS
+            ):
+                one.verdicts_ms.append(now_ms)
                 return
-        doubted_ms = self.doubts.pop(target, now_ms)
-        self.silences.append(Silence(target, doubted_ms, [now_ms]))
+        suspected_ms = self.suspicions.pop(target, now_ms)
+        self.silences.append(Silence(target, suspected_ms, [now_ms]))
 
 
 def read_lines(paths) -> list[dict]:
@@ -87,17 +90,19 @@
     return sorted(lines, key=lambda line: line['at_ms'])
 
 
-def print_table(table: Table) -> None:
+def print_table(table: SilenceTable) -> None:
     """Print a line for each silence, and sums."""
     print(f'{"target":20} {"first":>8} {"median":>8} {"last ms":>8} resets')
     for one in table.silences:
-        after_ms = [judged - one.doubted_ms for judged in one.judged_ms]
+        after_ms = [
+            verdict_ms - one.suspected_ms for verdict_ms in one.verdicts_ms
+        ]
         print(
             f'{one.target:20} {after_ms[0]:8} {median(after_ms):8.0f} '
             f'{after_ms[-1]:8} {one.resets:6}'
         )
     print('times are from the first doubt of any balancer to each verdict')
-    print(f'doubts by sign {dict(table.signs)}, dispelled {table.dispelled}')
+    print(f'doubts by sign {dict(table.signs)}, dispelled {table.refuted}')
     print(f'probes by result {dict(table.probes)}')
 
 
@@ -106,7 +111,7 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('logs', nargs='+', type=Path)
     options = parser.parse_args(arguments)
-    table = Table()
+    table = SilenceTable()
     for line in read_lines(options.logs):
         table.add(line)
     print_table(table)
--- a/benches/start.py
+++ b/benches/start.py
@@ -30,7 +30,7 @@
     'event loop': ENTRIES[:3],
     'group of balancers': ENTRIES,
 }
-SOURCE = "import sys; sys.modules['ssl'] = None\n"
+SOURCE_PRELUDE = "import sys; sys.modules['ssl'] = None\n"
 PREPARE = """
 names = {{'__name__': 'launcher'}}
 exec(open({launcher!r}).read(), names)
@@ -49,7 +49,7 @@
     path: str
 
 
-def spent_ms(code: str, path: str, runs: int) -> float:
+def measure_cpu_ms(code: str, path: str, runs: int) -> float:
     """Return the median of the processor time of a bare Python."""
     times_ms = []
     command = [sys.executable, '-S', '-P', '-c', code]
@@ -73,14 +73,14 @@
     return Form('deployed', prelude, str(packages))
 
 
-def report(form: Form, bare_ms: float, runs: int) -> None:
+def report(form: Form, interpreter_ms: float, runs: int) -> None:
     """Print what a form spends until each stage, beside the interpreter."""
     for stage, modules in STAGES.items():
         imports = '\n'.join(f'import {one}' for one in modules)
         # What an interpreter does at its end is no part of a start.
         code = f'{form.prelude}{imports}\nimport os\nos._exit(0)'
-        found_ms = spent_ms(code, form.path, runs) - bare_ms
-        print(f'{form.name:10} {stage:20} {found_ms:8.1f} ms', flush=True)
+        stage_ms = measure_cpu_ms(code, form.path, runs) - interpreter_ms
+        print(f'{form.name:10} {stage:20} {stage_ms:8.1f} ms', flush=True)
 
 
 def main(arguments) -> int:
@@ -88,10 +88,10 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--runs', type=int, default=RUNS)
     options = parser.parse_args(arguments)
-    bare_ms = spent_ms('import os; os._exit(0)', '', options.runs)
-    print(f'{"bare":10} {"interpreter":20} {bare_ms:8.1f} ms')
-    source = Form('source', SOURCE, os.pathsep.join(sys.path))
-    report(source, bare_ms, options.runs)
-    with tempfile.TemporaryDirectory(prefix='liftmount-start-') as place:
-        report(build(Path(place)), bare_ms, options.runs)
+    interpreter_ms = measure_cpu_ms('import os; os._exit(0)', '', options.runs)
+    print(f'{"bare":10} {"interpreter":20} {interpreter_ms:8.1f} ms')
+    source = Form('source', SOURCE_PRELUDE, os.pathsep.join(sys.path))
+    report(source, interpreter_ms, options.runs)
+    with tempfile.TemporaryDirectory(prefix='liftmount-start-') as directory:
+        report(build(Path(directory)), interpreter_ms, options.runs)
     return 0
--- a/benches/timing.py
+++ b/benches/timing.py
@@ -17,21 +17,23 @@
     """Microseconds for one call: median, least and most of the rounds."""
 
     median_us: float
-    least_us: float
-    most_us: float
+    min_us: float
+    max_us: float
 
 
 def time_calls(call, count: int, rounds: int = ROUNDS) -> Timing:
     """Time ``count`` calls of ``call(index)`` in each round."""
-    found = []
+    times_us = []
     for number in range(rounds):
         start_ms = _CLOCK.precise_ms()
         for index in range(count):
             call(number * count + index)
         took_ms = _CLOCK.precise_ms() - start_ms
-        found.append(took_ms * 1000 / count)
+        times_us.append(took_ms * 1000 / count)
     return Timing(
-        round(median(found), 2), round(min(found), 2), round(max(found), 2)
+        round(median(times_us), 2),
+        round(min(times_us), 2),
+        round(max(times_us), 2),
     )
 
 
@@ -48,6 +50,9 @@
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
-    spread = sum((x - mean_x) ** 2 for x, _ in points)
-    slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / spread
+    squared_deviations = sum((x - mean_x) ** 2 for x, _ in points)
+    slope = (
+        sum((x - mean_x) * (y - mean_y) for x, y in points)
+        / squared_deviations
+    )
     return slope, mean_y - slope * mean_x
--- a/tests/features/steps/domain_start_steps.py
+++ b/tests/features/steps/domain_start_steps.py
@@ -46,7 +46,7 @@
 
 @then('90 % hold routes and targets within {most:g} s')
 def most_hold(context, most):
-    found_s = context.start.known_at_ms(0.9) / 1_000
+    found_s = context.start.completed_after_ms(0.9) / 1_000
     assert found_s <= most, found_s
 
 
@@ -57,7 +57,9 @@
 
 @then('after 15 s one of them reads the store for all')
 def one_reads(context):
-    assert context.start.readers() == len(FEEDS), context.start.readers()
+    assert context.start.count_readers() == len(FEEDS), (
+        context.start.count_readers()
+    )
 
 
 @then('no more than {most:d} calls for each kind are made in 15 s')
--- a/tests/features/steps/measurements_steps.py
+++ b/tests/features/steps/measurements_steps.py
@@ -12,7 +12,7 @@
 from benches.ablation import SOURCE
 from benches.calls import count_all
 from benches.losses import find_cause
-from benches.silence import Table
+from benches.silence import SilenceTable
 
 WINDOW_FROM_S = 10.0
 CONTROL = 'nothing'
@@ -61,7 +61,7 @@
 
 @given('these log lines')
 def lines_of_logs(context):
-    context.silence_table = Table()
+    context.silence_table = SilenceTable()
     for row in context.table:
         line = {
             'at_ms': int(row['at_ms']),
@@ -77,7 +77,7 @@
       '{none:d} resets')  # fmt: skip
 def unresponsive_periods_are(context, first, second, resets, third, none):
     found = [
-        ([at - one.doubted_ms for at in one.judged_ms], one.resets)
+        ([at - one.suspected_ms for at in one.verdicts_ms], one.resets)
         for one in context.silence_table.silences
     ]
     assert found == [([first, second], resets), ([third], none)], found
@@ -85,7 +85,7 @@
 
 @then('{count:d} suspected stall was cleared')
 def stalls_cleared(context, count):
-    assert context.silence_table.dispelled == count
+    assert context.silence_table.refuted == count
 
 
 @given('these log lines of calls')
--- a/tests/features/steps/placement_steps.py
+++ b/tests/features/steps/placement_steps.py
@@ -136,7 +136,7 @@
 
     def submit(self, work_ms, on_answer, _on_refusal):
         end_ms = self.timeline.now_ms + work_ms * self.in_progress
-        self.timeline.at(end_ms, on_answer)
+        self.timeline.schedule(end_ms, on_answer)
 
 
 @given('a target with {slots:d} slots and a queue of {queue:d}')
--- a/tests/features/steps/slow_start_steps.py
+++ b/tests/features/steps/slow_start_steps.py
@@ -34,25 +34,29 @@
 
 @when('the balancers place flows for 6 s without a limit')
 def place_without_limit(context):
-    context.case = evolve(context.case, way='no limit')
+    context.case = evolve(context.case, strategy='no limit')
     context.result = run(context.case)
 
 
 @then('no target in slow start gets more than {rate:d} times 1.5 plus 5 '
       'requests in any second')  # fmt: skip
 def within_rule(context, rate):
-    assert context.case.allowed() == rate * 1.5 + 5
-    assert context.result.most <= context.case.allowed(), context.result
+    assert context.case.allowed_per_s() == rate * 1.5 + 5
+    assert context.result.max_flows_per_s <= context.case.allowed_per_s(), (
+        context.result
+    )
 
 
 @then('some target in slow start exceeds its rate limit')
 def exceeds_rule(context):
-    assert context.result.most > context.case.allowed(), context.result
+    assert context.result.max_flows_per_s > context.case.allowed_per_s(), (
+        context.result
+    )
 
 
 @then('at least {used:f} of the stated rate is used')
 def rate_used(context, used):
-    found = context.result.used(context.case)
+    found = context.result.used_share(context.case)
     assert found >= used, found
 
 
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -28,12 +28,12 @@
 TRANSFERS = 'tests/features/platform/transfers.feature'
 EVACUATIONS = 'tests/features/decisions/evacuations.feature'
 FRESHNESS = 'tests/features/decisions/freshness.feature'
-COLD = 'tests/features/decisions/slow_start.feature'
-OWN_LINK = 'tests/features/decisions/link_monitor.feature'
+SLOW_START = 'tests/features/decisions/slow_start.feature'
+LINK_MONITOR = 'tests/features/decisions/link_monitor.feature'
 STALLS = 'tests/features/decisions/stalls.feature'
 FORWARDING = 'tests/features/decisions/forwarding.feature'
-LIMIT_S = 300
-NOTHING_RUN = re.compile(r'\b0 scenarios passed, 0 failed, \d+ skipped')
+TIMEOUT_S = 300
+NO_SCENARIO_RUN = re.compile(r'\b0 scenarios passed, 0 failed, \d+ skipped')
 
 
 @frozen
@@ -50,7 +50,7 @@
 
 MUTATIONS = (
     Mutation(
-        'at most once: the window forgets',
+        'at most once: the window accepts duplicates',
         'decisions/window.py',
         '        if self.bitmap & bit:\n            return Claim.SEEN\n',
         '',
@@ -58,7 +58,7 @@
         "callers' packets are lost",
     ),
     Mutation(
-        'NOT_RUN is true: what was written counts as unwritten',
+        'NOT_RUN is true: written requests count as not written',
         'decisions/requests.py',
         'elif not event.written or request.service.repeatable:',
         'elif True:',
@@ -74,7 +74,7 @@
         "callers' packets are lost",
     ),
     Mutation(
-        'streams survive: nobody adopts or refuses them',
+        'streams survive: streams without a home are always refused',
         'decisions/routing.py',
         'return _route_without_home(state, event, service, token)',
         'return RefusePacket(Reason.HOME_GONE)',
@@ -82,7 +82,7 @@
         'the home of firm-a is killed -- ',
     ),
     Mutation(
-        'whole answers: pieces in order of arrival',
+        'whole answers: pieces are joined in order of arrival',
         'decisions/reassembly.py',
         "b''.join(partial.parts[i] for i in range(pieces))",
         "b''.join(partial.parts.values())",
@@ -98,7 +98,7 @@
         'exactly one token',
     ),
     Mutation(
-        'other service: the gap is not waited for',
+        'other service: no wait until every domain has the revision',
         'decisions/claims.py',
         'if not in_force(version, statuses, domains):',
         'if False:',
@@ -106,7 +106,7 @@
         'not granted while a domain',
     ),
     Mutation(
-        'other service: the target is not asked who it is',
+        'other service: the identity of a target is not verified',
         'services/targets.py',
         'if (found_team, found) == (team, name):',
         'if True:',
@@ -114,7 +114,7 @@
         'is reused by another',
     ),
     Mutation(
-        'other service: callers are not checked',
+        'other service: addresses of callers are not checked',
         'decisions/routing.py',
         'if not _is_allowed(event.caller.ip, service.networks):',
         'if False:',
@@ -122,7 +122,7 @@
         'Callers of one team',
     ),
     Mutation(
-        'leaving target: it still counts as present',
+        'leaving target: it still counts as available',
         'decisions/pool.py',
         'if not target.leaving]',
         ']',
@@ -130,7 +130,7 @@
         'an operator',
     ),
     Mutation(
-        'planned stop: it does not wait',
+        'planned stop: it does not wait for unfinished requests',
         'services/data.py',
         'if unfinished:\n            return False',
         'return True',
@@ -138,7 +138,7 @@
         'Long requests in progress',
     ),
     Mutation(
-        'configuration: older versions are taken',
+        'configuration: older versions are applied',
         'decisions/rollout.py',
         'if item.version <= known.version:',
         'if False:',
@@ -146,7 +146,7 @@
         'never reverts to an older version',
     ),
     Mutation(
-        'configuration: peers are not asked for what differs',
+        'configuration: no pull from peers with another digest',
         'decisions/membership.py',
         'actions.append(DigestDiffers(known))',
         'pass',
@@ -154,7 +154,7 @@
         'domain a cannot reach the platform',
     ),
     Mutation(
-        'lease: taken before it has lapsed',
+        'lease: acquired before it has expired',
         'decisions/lease.py',
         'if unchanged_ms >= event.value.duration_ms:',
         'if True:',
@@ -162,7 +162,7 @@
         'Only one of several',
     ),
     Mutation(
-        'soak: doubted targets are handed over as listed ones',
+        'soak: missing targets are sent as listed ones',
         'decisions/directory.py',
         '            if name not in self.missing\n        )',
         '        )',
@@ -178,7 +178,7 @@
         'targets are replaced',
     ),
     Mutation(
-        'soak: the number of the meant target is left out',
+        'soak: the number of the chosen target is not sent',
         '../platform/packet_headers.py',
         "action.target.number.to_bytes(NUMBER_BYTES, 'big')",
         'bytes(NUMBER_BYTES)',
@@ -194,7 +194,7 @@
         'balancers are killed and paused',
     ),
     Mutation(
-        'soak: no list after the history is gone',
+        'soak: no list after the history has expired',
         'decisions/list_watch.py',
         'return [*_report_regained(state), List(0, may_lag=False)]',
         'return [Watch(MAX_RETRY_MS, state.revision)]',
@@ -210,7 +210,7 @@
         'of each domain is stopped',
     ),
     Mutation(
-        'readers: nobody asks for a beat',
+        'readers: no member requests a heartbeat',
         'decisions/dissemination.py',
         'return [RequestHeartbeat(peers)] if peers else []',
         'return []',
@@ -218,7 +218,7 @@
         'A member without heartbeats asks peers',
     ),
     Mutation(
-        'readers: all levels of the tree begin at once',
+        'readers: all levels of the tree start at once',
         'decisions/dissemination.py',
         'levels = count_between(state.order, state.name)',
         'levels = 0',
@@ -226,7 +226,7 @@
         'members near the root read first',
     ),
     Mutation(
-        'readers: a transfer makes knowledge look fresh',
+        'readers: the age of a transferred update is ignored',
         'decisions/dissemination.py',
         'event.now_ms - update.age_ms',
         'event.now_ms',
@@ -234,7 +234,7 @@
         'counts from the beginning of its answer',
     ),
     Mutation(
-        'readers: the first watch waits',
+        'readers: the first watch does not return at once',
         'decisions/list_watch.py',
         'return Watch(RECHECK_MS, revision, IMMEDIATE_WAIT_MS)',
         'return Watch(RECHECK_MS, revision, state.times.watch_ms)',
@@ -242,7 +242,7 @@
         'The store is listed and watched without gaps',
     ),
     Mutation(
-        'readers: a watch begins anew after a pause',
+        'readers: a pause does not shorten the watch',
         'decisions/list_watch.py',
         'left_ms = state.times.watch_ms - pause_ms - lasted_ms',
         'left_ms = state.times.watch_ms',
@@ -250,7 +250,7 @@
         'Each watch ends in time',
     ),
     Mutation(
-        'readers: all begin to read after a start',
+        'readers: members read the store right after their start',
         'decisions/dissemination.py',
         "        return False, 'started of late'\n    if state.is_root",
         '        pass\n    if state.is_root',
@@ -258,7 +258,7 @@
         'Only the first of several starting members becomes store reader',
     ),
     Mutation(
-        'transfers: the time of a whole answer is limited',
+        'transfers: progress does not extend the timeout',
         'network/http.py',
         'self._limit.reschedule(now_s + seconds(PROGRESS_TIMEOUT_MS))',
         'pass',
@@ -266,7 +266,7 @@
         'A call times out for lack of progress',
     ),
     Mutation(
-        'transfers: a first list ends when its member rests',
+        'transfers: a pause cancels an initial list',
         'decisions/list_watch.py',
         '    if _is_first_list_pending(state):\n        # Those',
         '    if False:\n        # Those',
@@ -282,7 +282,7 @@
         'New flows go to domains that are not evacuated',
     ),
     Mutation(
-        'evacuations: a copy goes to the target that got the first one',
+        'evacuations: retransmitted openings ignore the evacuation',
         'decisions/flow_table.py',
         'return state.pool(entry.service).may_open(load, now_ms)',
         'return True',
@@ -290,7 +290,7 @@
         'An opening that was sent to the only target',
     ),
     Mutation(
-        'evacuations: openings do not wait until they are known',
+        'evacuations: openings do not wait for the evacuated domains',
         'decisions/forwarding.py',
         '        if state.evacuated is None:\n',
         '        if False:\n',
@@ -298,7 +298,7 @@
         'Openings wait until the evacuations are known',
     ),
     Mutation(
-        'evacuations: what is older takes back what is newer',
+        'evacuations: older revisions replace newer ones',
         'decisions/evacuations.py',
         'if before is not None and update.revision <= before.revision:',
         'if False:',
@@ -306,7 +306,7 @@
         'The newest evacuations received are in force',
     ),
     Mutation(
-        'evacuations: an evacuated domain counts slots to hand over to',
+        'evacuations: slots of an evacuated domain count for overflow',
         'decisions/flow_table.py',
         'if not pool.may_take(target):',
         'if target.leaving:',
@@ -314,7 +314,7 @@
         'An evacuated domain has no slots',
     ),
     Mutation(
-        'confirming: numbers that are missing are not minded',
+        'freshness: missing change numbers are ignored',
         'decisions/freshness.py',
         'return all(state.changes.get(one, feed) != feed for one in since)',
         'return True',
@@ -322,7 +322,7 @@
         'Random stores are never confirmed wrongly',
     ),
     Mutation(
-        'confirming: what is not confirmed is not asked',
+        'freshness: unconfirmed feeds are not requested',
         'decisions/freshness.py',
         '            actions.append(ReadFeed(feed))\n',
         '',
@@ -330,7 +330,7 @@
         'A kind that is not confirmed in time is queried',
     ),
     Mutation(
-        'confirming: who relies on others waits no longer',
+        'freshness: dependent feeds have no longer watch',
         'decisions/list_watch.py',
         'wait_ms = DEPENDENT_WATCH_MS',
         'pass',
@@ -338,35 +338,35 @@
         'The store is listed and watched without gaps',
     ),
     Mutation(
-        'cold: all of a quiet time is sent at once',
+        'slow start: unused budget of an idle period accumulates',
         'decisions/slow_start.py',
         '    if late_ms > 0:',
         '    if False:',
-        COLD,
+        SLOW_START,
         'Unused rate of an idle time is not used at once',
     ),
     Mutation(
-        'cold: all send the first flow at once',
+        'slow start: first flows of the balancers have no phase',
         'decisions/slow_start.py',
         'phase_ms = gap_ms * mixed / CRC_VALUES',
         'phase_ms = 0',
-        COLD,
+        SLOW_START,
         'No target in slow start exceeds its rate limit',
     ),
     Mutation(
-        'cold: a copy of an opening costs nothing',
+        'slow start: retransmitted openings are not counted',
         'decisions/pool.py',
         '            self.cold.spend(target.name, now_ms)\n',
         '            pass\n',
-        COLD,
+        SLOW_START,
         'Copies of an opening count against the rate',
     ),
     Mutation(
-        'cold: targets that are taken back are warm',
+        'slow start: none after the evacuation of a domain ends',
         'decisions/pool.py',
         'if target.failure_domain in returned:',
         'if False:',
-        COLD,
+        SLOW_START,
         'Targets of a domain whose evacuation ends',
     ),
     Mutation(
@@ -374,11 +374,11 @@
         'decisions/pool.py',
         'if target.failure_domain in domains',
         'if True',
-        COLD,
+        SLOW_START,
         'Openings go to the regions that a route allows',
     ),
     Mutation(
-        'silence over a busy link counts as proof',
+        'link monitor: timeouts over a busy link count as evidence',
         'services/packet_path.py',
         'return not self.link.is_busy(sent.sent_ms)',
         'return True',
@@ -386,23 +386,23 @@
         'own link is busy',
     ),
     Mutation(
-        'the own link is never busy',
+        'link monitor: the link is never busy',
         'decisions/link_monitor.py',
         'return now_ms < self.busy_until_ms',
         'return False',
-        OWN_LINK,
+        LINK_MONITOR,
         'An upload burst resets no flow of a live target',
     ),
     Mutation(
-        'a suspected target gets new flows like any other',
+        'suspected targets are not avoided',
         'decisions/forwarding.py',
         'is_avoided = event.is_dead or event.is_suspected',
         'is_avoided = event.is_dead',
-        OWN_LINK,
+        LINK_MONITOR,
         'An upload burst resets no flow of a live target',
     ),
     Mutation(
-        'a refusal by a draining target proves its end',
+        'a refusal by a draining target counts as its removal',
         'decisions/flow_table.py',
         'return entry.draining\n',
         'return False\n',
@@ -410,7 +410,7 @@
         'A refusal does not prove a target dead while it may be draining',
     ),
     Mutation(
-        'requests at a target that restarted are left to wait',
+        'requests are not resent to a restarted target',
         'decisions/forwarding.py',
         'actions.append(Forward(flow.request, entry, flow.tag))',
         'pass',
@@ -418,7 +418,7 @@
         'A target that restarted under its name has no earlier flows',
     ),
     Mutation(
-        'what is told late takes a start back',
+        'late updates replace a newer start of a target',
         'decisions/directory.py',
         'if is_late and _is_other_start(state, entry):',
         'if False:',
@@ -426,7 +426,7 @@
         'A known start of a target is not reverted by a late update',
     ),
     Mutation(
-        'a newcomer trusts lists that lag',
+        'a joining member accepts stale lists',
         'decisions/dissemination.py',
         'if has_all and is_new and _is_confirmation_overdue(state, now_ms):',
         'if False:',
@@ -434,7 +434,7 @@
         'Which member reads the store after a start',
     ),
     Mutation(
-        'one balancer convinces all that a target hangs',
+        'stall reports of one balancer are enough',
         'decisions/stall_reports.py',
         'if len(fresh) < QUORUM:',
         'if len(fresh) < 1:',
@@ -442,7 +442,7 @@
         'Reports of a single balancer eject no target',
     ),
     Mutation(
-        'all targets may be held out',
+        'all targets may be ejected',
         'decisions/pool.py',
         'if avoided + 1 <= MAX_STALL_EJECTED_SHARE * len(self.targets):',
         'if True:',
@@ -472,19 +472,19 @@
     command += ['--name', mutation.scenario, mutation.feature]
     environment = {**os.environ, 'PYTHONPATH': str(copy / 'src')}
     try:
-        done = subprocess.run(
+        completed = subprocess.run(
             command,
             cwd=copy,
             env=environment,
             capture_output=True,
             text=True,
-            timeout=LIMIT_S,
+            timeout=TIMEOUT_S,
         )
     except subprocess.TimeoutExpired:
         return True
-    if NOTHING_RUN.search(done.stdout):
+    if NO_SCENARIO_RUN.search(completed.stdout):
         raise LookupError(f'{mutation.name}: no scenario was run')
-    return done.returncode != 0
+    return completed.returncode != 0
 
 
 def main() -> int:
--- a/tests/run.py
+++ b/tests/run.py
@@ -18,11 +18,11 @@
 FEATURES = Path('tests/features')
 PROCESS_TAG = 'processes'
 SUMMARY = re.compile(r'(\d+) scenarios? passed, (\d+) failed')
-ERRORS = re.compile(r'scenarios? passed.*?(\d+) error')
+ERROR_COUNT = re.compile(r'scenarios? passed.*?(\d+) error')
 # How behave names a scenario that failed.
-FAILING = re.compile(r'^  (tests/\S+?):\d+  (.+?) *$', re.MULTILINE)
+FAILED_SCENARIO = re.compile(r'^  (tests/\S+?):\d+  (.+?) *$', re.MULTILINE)
 KNOWN_RED = Path('KNOWN-RED.txt')
-LIMIT_S = 600
+TIMEOUT_S = 600
 
 
 def list_scenarios(paths):
@@ -48,19 +48,19 @@
     command = [sys.executable, '-m', 'behave', '--format', 'plain']
     command += ['--no-skipped', *locations]
     try:
-        done = subprocess.run(
-            command, capture_output=True, text=True, timeout=LIMIT_S
+        completed = subprocess.run(
+            command, capture_output=True, text=True, timeout=TIMEOUT_S
         )
     except subprocess.TimeoutExpired as error:
-        return 0, 1, f'{locations} took above {LIMIT_S} s: {error}'
-    output = done.stdout + done.stderr
+        return 0, 1, f'{locations} took above {TIMEOUT_S} s: {error}'
+    output = completed.stdout + completed.stderr
     found = SUMMARY.search(output)
     if found is None:
         return 0, 1, output
     passed, failed = map(int, found.groups())
-    errors = ERRORS.search(output)
+    errors = ERROR_COUNT.search(output)
     failed += int(errors.group(1)) if errors else 0
-    if done.returncode and not failed:
+    if completed.returncode and not failed:
         failed = 1
     return passed, failed, output
 
@@ -85,7 +85,7 @@
 
 def split_failed(output, known):
     """Return the scenarios that failed as (known red, others)."""
-    failed = set(FAILING.findall(output))
+    failed = set(FAILED_SCENARIO.findall(output))
     return sorted(failed & known), sorted(failed - known)
 
 
@@ -107,10 +107,10 @@
                 print(result[2], flush=True)
             name = batch[0] if len(batch) == 1 else 'decisions and product'
             is_failed = result[1] > len(reds)
-            word = 'failed' if is_failed else 'passed'
+            status = 'failed' if is_failed else 'passed'
             if reds and not is_failed:
-                word = 'known red'
-            print(f'{word}: {name} ({result[0]})', flush=True)
+                status = 'known red'
+            print(f'{status}: {name} ({result[0]})', flush=True)
     return passed, failed
 
 
