--- a/benches/__init__.py
+++ b/benches/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of liftmount; run them by ``./dev measure``."""
+"""Measurements of liftmount, run by ``./dev measure``."""
--- a/benches/__main__.py
+++ b/benches/__main__.py
@@ -1,4 +1,4 @@
-"""Entry of the measurements: ``decisions``, ``policy``, ``path``, ..."""
+"""Command line of the measurements: ``./dev measure NAME [options]``."""
 
 from importlib import import_module
 import sys
@@ -20,7 +20,7 @@
 
 
 def main() -> int:
-    """Run the bench that is named first."""
+    """Run the measurement named by the first argument."""
     arguments = sys.argv[1:]
     if not arguments or arguments[0] not in BENCHES:
         names = '|'.join(BENCHES)
--- a/benches/ablation.py
+++ b/benches/ablation.py
@@ -1,12 +1,11 @@
-"""Switches mechanisms off, one by one, to see what each is worth.
+"""Run a command with one mechanism disabled at a time.
 
-Makes a copy of the tree with one mechanism switched off and runs a command
-in it; the product itself has no switches.  The command gets ``{name}`` and
-what follows ``--``, for example a bench that plays days::
+Edits a copy of the tree, because the product has no switches for it.  The
+command follows ``--``; ``{name}`` in it is replaced by the mechanism's name::
 
     ./dev measure ablation --copies DIR [--only PART] -- COMMAND {name}
 
-Without a command it only checks that each mechanism is still found.
+Without a command it checks that the code of each mechanism is found.
 """
 
 import argparse
@@ -31,7 +30,7 @@
 
 @frozen
 class Mechanism:
-    """Something that can be switched off by one change of a file."""
+    """A mechanism that an edit of one file disables."""
 
     name: str
     file: str
@@ -171,7 +170,10 @@
 
 
 def make_copy(mechanism: Mechanism, directory: Path) -> None:
-    """Copy the tree without a mechanism; raises LookupError if not found."""
+    """Copy the tree with a mechanism disabled.
+
+    Raises LookupError if its code is not found exactly once.
+    """
     path = ROOT / SOURCE / mechanism.file
     text = path.read_text()
     if text.count(mechanism.old) != 1 and mechanism.name != 'nothing':
@@ -185,7 +187,7 @@
 
 
 def main(arguments) -> int:
-    """Run the command once for each mechanism that is chosen."""
+    """Run the command once for each chosen mechanism."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--copies', type=Path, help='where the copy is made')
     parser.add_argument('--only', default='', help='part of a name')
--- a/benches/calls.py
+++ b/benches/calls.py
@@ -1,8 +1,8 @@
-"""Who calls the store, when and why: a table from logs of balancers.
+"""Count the calls to the store in balancers' logs.
 
-Each line of a log holds one JSON object, maybe behind a prefix.  The table
-counts calls by what was called, how it ended, and why the balancer that
-made it reads the store at all.
+Each log line holds a JSON object, with or without a prefix.  Calls are
+counted by kind, outcome, and the reason for which the balancer reads the
+store.
 """
 
 import argparse
@@ -11,15 +11,16 @@
 
 from benches.silence import read_lines
 
-# Why somebody reads that was never told to.
+# Reason of a balancer that has logged none since its start.
 INITIAL_REASON = 'from its start'
 SPAN_MS = 2_000
 
 
 def count_calls(lines: list[dict]) -> tuple[Counter, Counter]:
-    """Count calls by reason and outcome, and by spans of time.
+    """Count the calls of one balancer.
 
-    ``lines`` are those of one balancer, in the order of time.
+    ``lines`` are its log lines in order of time.  Returns counts by (reason,
+    part, call, outcome), and by (time span, reason).
     """
     reason = INITIAL_REASON
     kinds = Counter()
@@ -40,7 +41,7 @@
 
 
 def count_all(lines: list[dict]) -> tuple[Counter, Counter]:
-    """Count the calls of several balancers, as count_calls does."""
+    """Count the calls of several balancers; see ``count_calls``."""
     kinds = Counter()
     spans = Counter()
     for one in group_by_instance(lines).values():
@@ -51,7 +52,7 @@
 
 
 def main(arguments) -> int:
-    """Print the tables of logs, one log for each balancer."""
+    """Read the given logs and print the tables."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('logs', nargs='+', type=Path)
     options = parser.parse_args(arguments)
@@ -68,10 +69,9 @@
 
 
 def group_by_instance(lines: list[dict]) -> dict[str, list[dict]]:
-    """Return lines by the instance that wrote them.
+    """Return the lines by instance, which is the field ``from``.
 
-    ``from`` names it where logs of several instances are in one file; the
-    others are one instance's.
+    Lines without the field are treated as those of one instance.
     """
     found = {}
     for line in lines:
--- a/benches/capacity.py
+++ b/benches/capacity.py
@@ -1,7 +1,7 @@
-"""Slopes for docs/CAPACITY.md: the real code at several sizes.
+"""Measure how costs grow with the size, for docs/CAPACITY.md.
 
-Prints points and fits for configuration, membership, ownership and flows.
-Each part can be run alone by ``--only``.
+Prints points and linear fits for configuration, membership, ownership,
+flows and homes.  ``--only`` runs one part.
 """
 
 import argparse
@@ -45,7 +45,7 @@
 
 
 def make_template_object():
-    """Return the template of the bench's teams."""
+    """Return the template that all teams use."""
     services = [
         {'name': f's{n}', 'mode': 'request', 'pool': 'pool'}
         for n in range(SERVICES_PER_TEAM)
@@ -55,7 +55,7 @@
 
 
 def wrap_document(document):
-    """Return a document as the tool stores it."""
+    """Return a document in the form in which the tool stores it."""
     return {
         'document': document,
         'writer': 'bench',
@@ -109,7 +109,7 @@
 
 
 def measure_configuration_at(endpoints):
-    """Return the cost of a start and of a change at one size."""
+    """Return the costs of a start and of a change at one size."""
     teams = max(1, endpoints // ENDPOINTS_PER_TEAM)
     objects = [make_template_object()]
     for number in range(teams):
@@ -146,13 +146,14 @@
 
 
 def measure_configuration():
-    """Print the points and fits of configuration."""
+    """Measure configuration; print points and fits."""
     points = []
     for endpoints in ENDPOINTS:
-        # A fresh process, or memory freed before would hide the growth.
+        # A new process, because reuse of freed memory would hide the growth.
         code = (
             'import json; from benches import capacity; '
-            f'print(json.dumps(capacity.measure_configuration_at({endpoints})))'
+            'print(json.dumps('
+            f'capacity.measure_configuration_at({endpoints})))'
         )
         completed = subprocess.run(
             [sys.executable, '-c', code],
@@ -168,7 +169,7 @@
 
 
 def report_fit(name, points, per):
-    """Print a fit as growth for so many of the size."""
+    """Print a linear fit, with its slope for ``per`` units of the size."""
     slope, intercept = fit_line(points)
     print(f'  {name}: {intercept:.3f} + {slope * per:.4f} per {per}')
 
@@ -186,10 +187,10 @@
 
 
 def measure_membership_at(size, seconds=20, replace_every_ms=None):
-    """Return bytes and processor time of a member in a group of a size.
+    """Return bytes and CPU time per member in a group of a size.
 
-    Members exchange messages without a network; all know each other at
-    the start.  ``replace_every_ms`` makes a member restart that often.
+    Members exchange messages without a network, and begin with complete
+    member lists.  One member restarts every ``replace_every_ms``.
     """
     members = [make_member(n) for n in range(size)]
     by_peer = {}
@@ -226,12 +227,12 @@
 
 
 def announce_restart(state):
-    """Let a member tell of itself as after a restart."""
+    """Announce a member as after a restart."""
     membership.announce(state, leaving=False)
 
 
 def deliver(sender, actions, by_peer, now_ms):
-    """Hand messages to their receivers at once."""
+    """Deliver datagrams to their receivers immediately."""
     for action in actions:
         if not isinstance(action, membership.SendDatagram):
             continue
@@ -243,7 +244,7 @@
 
 
 def measure_membership():
-    """Print the points of membership, quiet and with replacements."""
+    """Measure membership without changes and with restarts."""
     points = []
     for size in MEMBERS:
         quiet = measure_membership_at(size, 10)
@@ -255,7 +256,7 @@
 
 
 def measure_ownership():
-    """Print what joins and leaves cost with all pools looked up."""
+    """Measure a join and a leave, each followed by a lookup of all pools."""
     wanted = frozenset({'a'})
     points = []
     for size in (*MEMBERS, 2_700):
@@ -279,7 +280,7 @@
 
 
 def measure_flows():
-    """Print the memory of flows."""
+    """Measure the memory of flows."""
     points = []
     for count in FLOWS:
         code = (
@@ -299,7 +300,7 @@
 
 
 def measure_home():
-    """Print what a home spends on a request, a push and a keepalive."""
+    """Measure a home's time for a request, a push and a keepalive."""
     service = make_service('request')
     home = make_home(service=service)
     event = open_request_flow(home, service)
@@ -356,7 +357,7 @@
 
 
 def main(arguments) -> int:
-    """Run the bench."""
+    """Run all parts, or the one chosen, and print the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--only', choices=PARTS)
     options = parser.parse_args(arguments)
--- a/benches/cold.py
+++ b/benches/cold.py
@@ -1,10 +1,10 @@
-"""A failure domain's targets come back cold: who sends how much to them?
+"""Compare strategies to limit the rate of new flows to cold targets.
 
-All balancers place flows by the real decisions, in simulated time.  A third
-of the targets turns cold at once, and bears a stated rate each, while the
-others go on.  ``./dev measure cold`` prints for each way to keep to the rate
-the most that a cold target got in any second, what the rule allows, the
-part of the stated rate that was used, and what was refused.
+All balancers place flows by the real decisions, in simulated time.  The
+targets of one failure domain, or all, become cold at once; each accepts a
+stated rate.  ``./dev measure cold`` prints for each strategy the maximum of
+flows that a cold target received in one second, the allowed maximum, the
+share of the stated rate that was used, and the share of refused flows.
 """
 
 import argparse
@@ -32,18 +32,19 @@
 COLD_AT_MS = 1_000
 WARM_MS = 4_000
 END_MS = 6_000
-# What the rule allows beyond the stated rate, in any second.
+# Flows allowed in any second: the stated rate times a factor, plus a constant.
 ALLOWED_FACTOR = 1.5
 ALLOWED_EXTRA_FLOWS = 5
-# What owners send, and what the others share, where there are owners.
+# Shares of the stated rate in the strategies with an owner.
 OWNER_SHARE = 0.5
 OTHERS_SHARE = 0.4
 
 
 class OwnerBudget(SlowStartBudget):
-    """One member of a target's domain sends half of the rate, others none.
+    """Let only the owner of a target send to it, at OWNER_SHARE of the rate.
 
-    The owner is found by rendezvous among the members that are known.
+    The owner is chosen by rendezvous hashing among the known members of the
+    target's domain.
     """
 
     def __init__(self, warm_up, fleet, domain, members):
@@ -52,7 +53,7 @@
         self.members = members
 
     def owns(self, target):
-        """Tell whether this member is the owner of a target."""
+        """Return whether this member is the owner of a target."""
         if not target.startswith(self.domain):
             return False
         seed = crc32(target.encode())
@@ -60,26 +61,26 @@
         return owner == self.fleet.name
 
     def may_take(self, target, now_ms):
-        """Tell whether a cold target may get a flow now."""
+        """Return whether a new flow may go to a cold target now."""
         return self.owns(target) and now_ms >= self.next_ms.get(target, 0)
 
     def spend(self, target, now_ms):
-        """Note a flow that was sent to a cold target."""
+        """Record a flow that was sent to a cold target."""
         gap_ms = MS_PER_S / (OWNER_SHARE * self.warm_up.per_s)
         self.next_ms[target] = now_ms + gap_ms
 
 
 class BothBudget(OwnerBudget):
-    """The owner sends half of the rate, the others share another part."""
+    """Let the owner send OWNER_SHARE, and all others share OTHERS_SHARE."""
 
     def may_take(self, target, now_ms):
-        """Tell whether a cold target may get a flow now."""
+        """Return whether a new flow may go to a cold target now."""
         if self.owns(target):
             return super().may_take(target, now_ms)
         return SlowStartBudget.may_take(self, target, now_ms)
 
     def spend(self, target, now_ms):
-        """Note a flow that was sent to a cold target."""
+        """Record a flow that was sent to a cold target."""
         if self.owns(target):
             super().spend(target, now_ms)
         else:
@@ -95,10 +96,10 @@
 
 @frozen
 class Case:
-    """How many balancers there are, what they know of each other, the rate.
+    """Number of balancers, their membership views, and the stated rate.
 
-    With views that ``differ`` each member misses a tenth of the others;
-    ``isolated`` ones know only themselves, a third of all.
+    In ``differ`` each view lacks a random tenth of the domain's members; in
+    ``isolated`` a third of the balancers have only themselves in their view.
     """
 
     strategy: str = 'share'
@@ -108,13 +109,13 @@
     all_cold: bool = False
 
     def allowed_per_s(self) -> float:
-        """Return what a cold target may get in any second."""
+        """Return the flows that a cold target may receive in any second."""
         return self.per_s * ALLOWED_FACTOR + ALLOWED_EXTRA_FLOWS
 
 
 @define
 class Result:
-    """What came of a case; ``max_flows_per_s`` is the most in any second."""
+    """Counts of a run; ``max_flows_per_s`` is the maximum per cold target."""
 
     max_flows_per_s: int = 0
     cold_flows: int = 0
@@ -122,7 +123,7 @@
     flows: int = 0
 
     def used_share(self, case: Case) -> float:
-        """Return the part of the stated rates that was used."""
+        """Return the share of the stated rates that was used."""
         cold = TARGETS_PER_DOMAIN * (len(DOMAINS) if case.all_cold else 1)
         stated = cold * case.per_s * WARM_MS / MS_PER_S
         return self.cold_flows / stated
@@ -130,12 +131,12 @@
 
 @define
 class _Target:
-    """What a cold target got of late."""
+    """Times of the flows that a cold target received in the last second."""
 
     recent: deque = Factory(deque)
 
     def count_flow(self, now_ms):
-        """Count a flow; return how many came within a second."""
+        """Record a flow; return the number within the last second."""
         self.recent.append(now_ms)
         while self.recent[0] <= now_ms - MS_PER_S:
             self.recent.popleft()
@@ -143,7 +144,7 @@
 
 
 def _make_view(case, rng, domain, index):
-    """Return whom a member knows of its domain."""
+    """Return the names in a member's view of its domain."""
     names = [f'{domain}{one}' for one in range(case.balancers // len(DOMAINS))]
     own = f'{domain}{index}'
     if case.views == 'isolated' and index % 3 == 0:
@@ -197,7 +198,7 @@
 
 
 def run(case: Case, seed: int = 1) -> Result:
-    """Play a case."""
+    """Simulate a case."""
     rng = random.Random(seed)
     pools = [
         _make_pool(case, rng, domain, index)
@@ -236,7 +237,7 @@
 
 
 def main(arguments) -> int:
-    """Print a line for each case."""
+    """Run all cases and print a line for each."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--seed', type=int, default=1)
     options = parser.parse_args(arguments)
@@ -257,7 +258,8 @@
 
 def _print_row(case, result):
     print(
-        f'{case.strategy:11} {case.balancers:9} {case.per_s:4.0f} {case.views:9} '
+        f'{case.strategy:11} {case.balancers:9} {case.per_s:4.0f} '
+        f'{case.views:9} '
         f'{"all" if case.all_cold else "third":5} {result.max_flows_per_s:4} '
         f'{case.allowed_per_s():7.0f} {result.used_share(case):4.2f} '
         f'{result.refused / result.flows:7.3f}'
--- a/benches/decisions.py
+++ b/benches/decisions.py
@@ -1,4 +1,4 @@
-"""Cost of decisions: a packet with a token, a new flow, flows in memory."""
+"""Measure the cost of packets, new flows, choices, and flows in memory."""
 
 import argparse
 import json
@@ -74,7 +74,7 @@
 
 
 def measure_choice(candidates):
-    """Time the choice of a target among candidates."""
+    """Time the choice of a target among a number of candidates."""
     pool = Pool('firm-a/guidance', 'a')
     infos = [TargetInfo(f't{n}', 'a') for n in range(candidates)]
     pool.update(infos, 0)
@@ -90,7 +90,7 @@
 
 
 def measure_flows_in_memory():
-    """Return the bytes that so many flows take, in a fresh process."""
+    """Return the bytes of FLOWS flows, measured in a new process."""
     command = [sys.executable, '-m', 'benches.decisions', '--flows-only']
     completed = subprocess.run(
         command, capture_output=True, text=True, check=True
@@ -99,7 +99,7 @@
 
 
 def hold_flows(count=FLOWS):
-    """Open flows in this process; return the bytes they take."""
+    """Open flows in this process; return the growth of its memory."""
     service = make_service()
     home = make_home(service=service)
     open_flow(home, service, 0)
@@ -110,7 +110,7 @@
 
 
 def main(arguments) -> int:
-    """Run the bench."""
+    """Run all measurements and print the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--flows-only', action='store_true')
     options = parser.parse_args(arguments)
--- a/benches/domain_start.py
+++ b/benches/domain_start.py
@@ -1,9 +1,10 @@
-"""All members of a failure domain start at once: when do they know enough?
+"""Simulate a failure domain whose members all start at once.
 
-The decisions of every member run in simulated time, over links that share
-their bytes evenly.  ``./dev measure domain_start`` prints for each case the
-seconds until 90 % and all of the members hold routes and targets, calls to
-the store, and the bytes that the busiest member received.
+The decisions of every member run in simulated time, over links whose
+bandwidth is shared evenly by the transfers on them.
+``./dev measure domain_start`` prints for each case the seconds until 90 %
+and all of the members hold routes and targets, the calls to the store, the
+members that read it, and the largest number of bytes received by a member.
 """
 
 import argparse
@@ -28,15 +29,15 @@
 
 STEP_MS = 10
 TICK_MS = 50
-# From the group's start to the list of all members, as in 0016.
+# From joining the group to a complete list of members.
 JOIN_DURATION_MS = 1_500
 IMPORTS_MS = 200
 SEEDS = 3
-# When a newcomer asks seeds again, see decisions/bootstrap.py.
+# Delay of a joining member's second request, see decisions/bootstrap.py.
 RETRY_SNAPSHOT_MS = 1_000
 ROUND_TRIP_MS = 4
 SLOW_MS = 400
-# A route and a target as the store writes them, and as members tell them.
+# Sizes of one object in the store's lists and in snapshots of peers.
 STORED_BYTES = {ROUTES: 150, TARGETS: 300, EVACUATIONS: 100}
 SNAPSHOT_BYTES = {ROUTES: 14, TARGETS: 35}
 CALL_BYTES = 200
@@ -48,10 +49,10 @@
 
 @frozen
 class Case:
-    """What starts, how much there is to know, and how the store is.
+    """Sizes of the domain and of its configuration, and faults of the store.
 
-    ``trouble`` is one of TROUBLES and lasts for ``trouble_ms``.  Segments
-    of flows that were open before may wait for their targets meanwhile.
+    ``trouble`` is one of TROUBLES and lasts for ``trouble_ms``.  With
+    ``segments_wait``, segments of flows opened earlier wait for targets.
     """
 
     members: int = 40
@@ -64,12 +65,12 @@
     segments_wait: bool = False
 
     def stored_bytes(self, feed: str) -> int:
-        """Return the size of a whole list in the store."""
+        """Return the size of a whole list from the store."""
         counts = {ROUTES: self.routes, TARGETS: self.targets}
         return counts.get(feed, 0) * STORED_BYTES[feed] + CALL_BYTES
 
     def snapshot_bytes(self) -> int:
-        """Return the size of what a member tells another one."""
+        """Return the size of a snapshot that a member sends to a peer."""
         return (
             self.routes * SNAPSHOT_BYTES[ROUTES]
             + self.targets * SNAPSHOT_BYTES[TARGETS]
@@ -81,7 +82,11 @@
 
 @define
 class Transfer:
-    """Bytes on their way from a source to a member."""
+    """Bytes in transit from a source to a member.
+
+    ``on_done`` is called at the end, ``on_failed`` after a timeout.  A
+    transfer with ``stalls_at_bytes`` makes no progress beyond that.
+    """
 
     source: str
     size_bytes: float
@@ -95,7 +100,11 @@
 
 @define
 class Member:
-    """A balancer that has just started."""
+    """A balancer that has just started.
+
+    ``due_calls`` and ``transfers`` are by feed; ``held_since_ms`` has the
+    feeds that the member holds.
+    """
 
     name: str
     started_ms: int
@@ -109,12 +118,12 @@
 
     @property
     def is_complete(self) -> bool:
-        """Tell whether it can place flows."""
+        """Whether the member holds all feeds, so that it can place flows."""
         return len(self.held_since_ms) == len(FEEDS)
 
 
 class DomainStart:
-    """One start of a domain, step by step."""
+    """A simulated start of all members of a domain."""
 
     def __init__(self, case: Case):
         self.case = case
@@ -133,7 +142,7 @@
             self.members[name] = member
 
     def run(self, until_ms: int) -> None:
-        """Let time pass."""
+        """Advance the simulated time in steps."""
         while self.now_ms < until_ms:
             self.now_ms += STEP_MS
             for member in self.members.values():
@@ -149,7 +158,7 @@
                     self._decide_dissemination(member, event)
 
     def completed_after_ms(self, share: float) -> float:
-        """Return when a share of the members held all; else infinity."""
+        """Return the time until a share of members held all; else inf."""
         times = sorted(
             max(one.held_since_ms.values()) - one.started_ms
             if one.is_complete
@@ -159,18 +168,18 @@
         return times[max(0, round(share * len(times)) - 1)]
 
     def max_received_bytes(self) -> float:
-        """Return the bytes that came to the member that got most."""
+        """Return the largest number of bytes received by a member."""
         return max(one.received_bytes for one in self.members.values())
 
     def count_readers(self) -> int:
-        """Return how many members read the store now."""
+        """Return the number of list-watches that read the store now."""
         return sum(
             not state.is_paused
             for member in self.members.values()
             for state in member.list_watches.values()
         )
 
-    # What a member does by itself.
+    # Timers and decisions of a member.
 
     def _step(self, member):
         if self.now_ms < member.started_ms:
@@ -227,7 +236,7 @@
         self._request_snapshot(member, 0)
 
     def _request_snapshot(self, member, turn):
-        """Ask whoever answers the join for what is not known yet."""
+        """Request a snapshot from a seed while feeds are missing."""
         if member.is_complete:
             return
         seeds = [
@@ -285,7 +294,7 @@
             event = dissemination.HeartbeatRequested(member.name, self.now_ms)
             self._decide_dissemination(peer, event)
 
-    # Calls and bytes.
+    # Calls to the store and transfers.
 
     def _call_store(self, member, feed, call):
         case = self.case
@@ -398,7 +407,7 @@
                 source_mbps / sending[one.source],
                 case.link_mbps / receiving[member.name],
             )
-            # What ended before may have cancelled it.
+            # A transfer that ended in this step may have cancelled it.
             if member.transfers.get(key) is one:
                 self._advance_transfer(
                     member, key, one, rate_mbps * 125 * STEP_MS
@@ -423,7 +432,7 @@
 
 @frozen
 class _Version:
-    """What spreading reads of a configuration."""
+    """The part of a configuration that dissemination reads."""
 
     version: int = 1
 
@@ -444,7 +453,7 @@
 
 
 def main(arguments) -> int:
-    """Print a line for each case."""
+    """Run all cases and print a line for each."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--seconds', type=int, default=15)
     options = parser.parse_args(arguments)
@@ -460,7 +469,8 @@
             f'{case.trouble:20}'
             f'{start.completed_after_ms(0.9) / 1_000:6.2f} '
             f'{start.completed_after_ms(1.0) / 1_000:6.2f} '
-            f'{sum(start.calls.values()):6} {start.lists:5} {start.count_readers():7} '
+            f'{sum(start.calls.values()):6} {start.lists:5} '
+            f'{start.count_readers():7} '
             f'{start.max_received_bytes() / 1e6:5.2f}'
         )
     return 0
--- a/benches/entry.py
+++ b/benches/entry.py
@@ -1,7 +1,7 @@
-"""What an entry balancer's decisions cost as the targets grow in number.
+"""Measure the cost of an entry balancer's decisions by number of targets.
 
-One second of its life without packets (ticks, checks of the domain's
-load), the same after some evidence on each target, and one opening.
+Times one second without packets (ticks and checks of the domain's load),
+the same with health evidence on each target, and one opening of a flow.
 """
 
 import argparse
@@ -34,14 +34,14 @@
 SECOND_MS = 1_000
 SECONDS = 5
 OPENINGS = 2_000
-# New flows a second of one of 2,700 balancers, at 260,000 in all.
+# New flows per second at one balancer.
 OPENINGS_PER_S = 96
 ADDRESS = Endpoint('198.51.100.1', 443)
 
 
 @frozen
 class Cost:
-    """Figures at one number of targets."""
+    """Costs at one number of targets."""
 
     targets: int
     idle_ms_per_s: float
@@ -50,7 +50,7 @@
 
 
 def make_target(number):
-    """Return a target of some domain and service."""
+    """Return a target; its number selects the domain and service."""
     return TargetEntry(
         name=f'i-{number:x}',
         number=number,
@@ -62,7 +62,7 @@
 
 
 class EntryBalancer:
-    """The decisions of one balancer, and its clock."""
+    """The decisions of one balancer with a simulated clock."""
 
     def __init__(self, targets):
         self.now_ms = SECOND_MS
@@ -88,7 +88,7 @@
         forwarding.decide(self.state, settled)
 
     def run_second(self, _index=0):
-        """Let a second pass, as the packet service does."""
+        """Run the periodic work of the packet service for one second."""
         for _ in range(SECOND_MS // TICK_MS):
             self.now_ms += TICK_MS
             tick = Tick(self.now_ms)
@@ -99,7 +99,7 @@
                 domain_loads(self.state, 1, self.now_ms)
 
     def add_evidence(self):
-        """Have each target doubted once, and answer."""
+        """Make each target suspected once, then let it answer a probe."""
         health = self.state.health
         for name in self.state.tags.entries:
             unresponsive = target_health.TargetUnresponsive(name, self.now_ms)
@@ -111,7 +111,7 @@
             target_health.decide(health, ended)
 
     def open_flow(self, index):
-        """Open a flow; time passes as between openings."""
+        """Open a flow, and advance the clock by the mean interval."""
         self.now_ms += SECOND_MS // OPENINGS_PER_S
         segment = Segment(
             flow=index.to_bytes(12, 'big'),
@@ -131,7 +131,7 @@
 
 
 def measure(targets: int) -> Cost:
-    """Return the figures at one number of targets."""
+    """Return the costs at one number of targets."""
     entry = EntryBalancer(targets)
     idle = time_calls(entry.run_second, SECONDS)
     opening = time_calls(entry.open_flow, OPENINGS)
@@ -146,7 +146,7 @@
 
 
 def main(arguments) -> int:
-    """Run the bench."""
+    """Measure all sizes and print the results."""
     argparse.ArgumentParser(description=__doc__).parse_args(arguments)
     costs = [measure(targets) for targets in TARGETS]
     print('targets   idle ms/s   after evidence ms/s   opening us')
--- a/benches/fakes.py
+++ b/benches/fakes.py
@@ -1,4 +1,4 @@
-"""Fake targets on a clock moved by events, for benches of policy."""
+"""Fake targets on a simulated clock, for the policy measurements."""
 
 from collections import deque
 import heapq
@@ -9,19 +9,19 @@
 
 @define
 class Timeline:
-    """Calls in order of their time, in milliseconds."""
+    """An event queue and its simulated clock, in milliseconds."""
 
     now_ms: float = 0.0
     _heap: list = Factory(list)
     _count: int = 0
 
     def schedule(self, time_ms: float, call) -> None:
-        """Call ``call()`` at a time."""
+        """Schedule ``call()`` at a time."""
         self._count += 1
         heapq.heappush(self._heap, (time_ms, self._count, call))
 
     def run(self, until_ms: float) -> None:
-        """Carry out everything up to a time."""
+        """Run all calls that are due until a time."""
         while self._heap and self._heap[0][0] <= until_ms:
             self.now_ms, _count, call = heapq.heappop(self._heap)
             call()
@@ -30,11 +30,10 @@
 
 @define
 class FakeTarget:
-    """A target with slots, a speed and a short queue; then it sheds.
+    """A target with slots and a short queue that sheds further requests.
 
-    ``speed`` may be changed at any time and holds for work started later.
-    ``down`` refuses connections; ``shed_share`` of requests are shed for
-    no reason that shows.
+    A change of ``speed`` applies to work started later.  A target that is
+    ``down`` refuses all requests; ``shed_share`` of them are shed at random.
     """
 
     name: str
@@ -54,11 +53,11 @@
 
     @property
     def load(self) -> int:
-        """Return how many requests are here."""
+        """The number of requests that run or are queued."""
         return self.running + len(self.queue)
 
     def submit(self, work_ms, deadline_at_ms, on_answer, on_refusal):
-        """Take a request; one of the callbacks is called later."""
+        """Accept or refuse a request; calls one of the callbacks later."""
         is_shed = self.shed_share and self.draw_random() < self.shed_share
         is_full = self.load >= self.slots + self.queue_limit
         if self.down or is_shed or is_full:
--- a/benches/losses.py
+++ b/benches/losses.py
@@ -1,9 +1,9 @@
-"""Where the worth of played days was lost: a table from their reports.
+"""Attribute losses of worth in benchmark reports to events.
 
-A report is what the users' bench writes for one day.  For each window in
-which worth was lost the table names what went on then; sums follow by what
-went on, and by price.  What struck last before a window counts as its
-cause, but for planned work, which counts only when nothing else went on.
+A report covers one simulated day.  The table has a line for each window in
+which worth was lost, with its cause; sums by cause and by price follow.
+The cause is the latest unplanned event that overlaps the window, or the
+latest planned one if there is none.
 """
 
 import argparse
@@ -14,16 +14,16 @@
 from attrs import frozen
 
 WINDOW_S = 2.0
-# How much longer than its end something is felt: clients' last retries.
+# How long clients' retries extend the effect of an event after its end.
 AFTER_EFFECT_S = 2.0
-# Share of a window's worth below which a loss is not shown.
+# Smaller losses, as shares of a window's worth, are not shown.
 MIN_LOSS_SHARE = 0.005
 UNKNOWN = 'nothing known'
 
 
 @frozen
 class Loss:
-    """A window in which worth was lost, as a share of what it could earn."""
+    """A window in which a share of the possible worth was lost."""
 
     from_s: float
     requests: int
@@ -34,7 +34,7 @@
 
 
 def find_cause(events: list[dict], from_s: float) -> str:
-    """Return what went on in a window, unplanned things first."""
+    """Return the kind of the event that caused the loss in a window."""
     found = [
         one
         for one in events
@@ -48,7 +48,7 @@
 
 
 def read_losses(report: dict) -> list[Loss]:
-    """Return the losses that a report tells, in the order of time."""
+    """Return the losses in a report, in order of time."""
     losses = []
     for window in report['windows']:
         share = 1.0 - window['worth']
@@ -64,7 +64,7 @@
 
 
 def print_report(path: Path, sums: Counter) -> None:
-    """Print the table of one day; add to the sums by cause."""
+    """Print the table of one report; add to the sums by cause."""
     report = json.loads(path.read_text())
     total = sum(window['n'] for window in report['windows'])
     print(f'{path.name}: worth {report["G"]:.3f}')
@@ -83,7 +83,7 @@
 
 
 def main(arguments) -> int:
-    """Print a table for each report, and the means over all."""
+    """Print a table for each report, then means over all reports."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('reports', nargs='+', type=Path)
     options = parser.parse_args(arguments)
--- a/benches/path.py
+++ b/benches/path.py
@@ -1,8 +1,8 @@
-"""Real processes: placement, platform calls, control bytes, changes.
+"""Measure placement, platform calls and control traffic of real processes.
 
-Runs a deployment of the users' sizes for a while without faults, then
-changes its configuration with a slow platform.  ``--group N`` puts N
-balancers into each of two failure domains instead.
+Runs an example deployment without faults, then measures configuration
+changes, also with a slow platform.  ``--group N`` runs N balancers in each
+of two failure domains instead.
 """
 
 import argparse
@@ -26,7 +26,7 @@
 
 
 def read_counters(deployment):
-    """Return platform calls by address, and control bytes by balancer."""
+    """Return (time, platform calls by IP, control bytes by balancer)."""
     calls = call(deployment.platform, '/calls')
     control = {
         name: deployment.inspect(name)['data']['counters'].get(
@@ -38,12 +38,12 @@
 
 
 def measure_steady(deployment, seconds):
-    """Return calls and control bytes a second while nothing changes."""
+    """Return calls and control bytes per second while nothing changes."""
     start_s, calls, control = read_counters(deployment)
     time.sleep(seconds)
     end_s, later_calls, later_control = read_counters(deployment)
     took_s = end_s - start_s
-    # The tool calls from other addresses.
+    # Calls of the tool come from other addresses.
     by_balancer = {
         ip: later_calls[ip] - calls[ip]
         for _domain, ip in deployment.balancers.values()
@@ -61,7 +61,7 @@
 
 
 def measure_change(deployment, number):
-    """Return how long a change takes until in force, in milliseconds."""
+    """Return the milliseconds until a change is in force everywhere."""
     team = deployment.plan.teams[0]
     document = deployment.team_document(team)
     service = deployment.plan.services[-1].name
@@ -80,7 +80,7 @@
 
 
 def main(arguments) -> int:
-    """Run the bench."""
+    """Run the deployment and print the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--deployment', default='montevideo')
     parser.add_argument('--seconds', type=float, default=15.0)
@@ -107,7 +107,7 @@
 
 
 def run(deployment, options):
-    """Run the deployment; return the figures."""
+    """Run the deployment; return its figures by name."""
     deployment.start()
     time.sleep(SETTLE_S)
     document = measure_steady(deployment, options.seconds)
--- a/benches/policies.py
+++ b/benches/policies.py
@@ -1,6 +1,6 @@
-"""The policy of liftmount, and baselines, behind one interface.
+"""Liftmount's policy and baselines with the same interface.
 
-Each is asked for one request at a time and reports its end by
+A policy gets one request at a time by ``submit`` and reports its end by
 ``done(request, verdict, reason)``.
 """
 
@@ -28,7 +28,7 @@
 
 @define(eq=False)
 class Request:
-    """One request of a bench."""
+    """A simulated request and its outcome."""
 
     number: int
     priority: str
@@ -43,7 +43,7 @@
 
 
 class OwnerPolicy:
-    """Liftmount: the owner of the pool decides, with all that is real."""
+    """The decisions of liftmount, made by the owner of the pool."""
 
     name = 'liftmount'
 
@@ -62,7 +62,7 @@
         self._tick()
 
     def update_targets(self):
-        """Take over which targets there are, and which leave."""
+        """Pass the current targets, and which of them leave, to the pool."""
         infos = [
             TargetInfo(one.name, one.domain, leaving=one.leaving)
             for one in self.targets.values()
@@ -104,7 +104,7 @@
         return self.nonces[priority]
 
     def submit(self, request):
-        """Take one request."""
+        """Submit a request to the home."""
         nonce = self._ensure_flow(request.priority, request.deadline_ms)
         self.last_number += 1
         self.requests[nonce, self.last_number] = request
@@ -180,7 +180,7 @@
 
 
 class Baseline:
-    """Eight balancers that each see their own share of the load only."""
+    """A policy of independent balancers that share no state."""
 
     name = ''
 
@@ -192,18 +192,18 @@
         self.states = [self.make_state() for _ in range(BALANCERS)]
 
     def make_state(self):
-        """Return what one balancer remembers."""
+        """Return the initial state of one balancer."""
         return {}
 
     def update_targets(self):
-        """A baseline sees at once which targets leave."""
+        """Do nothing: baselines read the state of targets directly."""
 
     def choose(self, state, request, allowed):
-        """Return one of the targets that are allowed."""
+        """Return one of the allowed targets."""
         raise NotImplementedError
 
     def submit(self, request):
-        """Take one request at one of the balancers."""
+        """Submit a request to one of the balancers."""
         state = self.states[request.number % BALANCERS]
         self._send_to_target(state, request)
 
@@ -238,35 +238,35 @@
 
 
 class RoundRobin(Baseline):
-    """Each balancer takes the targets in turn."""
+    """Round robin over the targets, at each balancer."""
 
     name = 'round robin'
 
     def choose(self, state, request, allowed):
-        """Return the next in turn."""
+        """Return the next target in turn."""
         turn = state['turn'] = state.get('turn', -1) + 1
         return allowed[turn % len(allowed)]
 
 
 class Rendezvous(Baseline):
-    """Plain rendezvous hashing of the request."""
+    """Rendezvous hashing of the request's number."""
 
     name = 'rendezvous'
 
     def choose(self, state, request, allowed):
-        """Return the highest score."""
+        """Return the target with the highest score."""
         names = [one.name for one in allowed]
         best = rank(str(request.number), names)[0]
         return next(one for one in allowed if one.name == best)
 
 
 class LeastConnections(Baseline):
-    """Least requests in progress, as far as the balancer sees."""
+    """Fewest requests in progress from the same balancer."""
 
     name = 'least connections'
 
     def choose(self, state, request, allowed):
-        """Return the target with the least seen here."""
+        """Return the target with the fewest requests of this balancer."""
         turn = state['turn'] = state.get('turn', -1) + 1
         rotated = allowed[turn % len(allowed) :]
         rotated += allowed[: turn % len(allowed)]
--- a/benches/policy.py
+++ b/benches/policy.py
@@ -1,7 +1,7 @@
-"""Policy under load and faults: the real decisions against fake targets.
+"""Compare balancing policies under load and faults, with fake targets.
 
-Prints a table and one JSON line for each scenario and policy, medians
-over the seeds.  All policies of a run meet the same arrivals.
+Prints a table and one JSON line for each scenario and policy, with medians
+over the seeds.  All policies of a scenario and seed see the same arrivals.
 """
 
 import argparse
@@ -21,25 +21,30 @@
 from benches.policies import POLICIES
 from benches.policies import Request
 
+# Speeds of targets: work completed per millisecond in each slot.
 FAST = 4.0
 SLOW = 1.0
 SPEEDS = (FAST, SLOW, SLOW, FAST, SLOW, SLOW, FAST)
 WARM_UP_MS = 10_000.0
 RUN_MS = 40_000.0
 WORK_MS = 200.0
+# Coefficient of variation of the work of a request.
 WORK_VARIATION = 0.5
+# (priority, share of requests, deadline in ms)
 PRIORITY_MIX = (('urgent', 0.5, 4_000), ('normal', 0.2, 8_000))
 PRIORITY_MIX += (('may-wait', 0.3, 20_000),)
+# Simulations that run in parallel.
 JOBS = 8
 
 
 @frozen
 class Scenario:
-    """One scenario.
+    """Targets, load and events of one simulation.
 
-    ``slots`` is one number, or one for each target.  ``load`` is a share
-    of the true capacity; ``events`` are (time in ms, kind, argument) and
-    change targets or the load.
+    ``slots`` is one number for all targets, or one for each.  ``load`` is a
+    share of the total capacity.  ``mix`` has (priority, share, deadline in
+    ms); ``events`` are (time in ms, kind, argument) and change targets or
+    the load.
     """
 
     name: str
@@ -52,7 +57,7 @@
 
 
 def scenarios():
-    """Return all scenarios at the users' sizes of today."""
+    """Return all scenarios, at the sizes of the example deployments."""
     found = []
     for user, slots, domains in (
         ('montevideo', 3, ('a', 'b', 'c')),
@@ -118,14 +123,17 @@
 
 
 def get_slots(scenario, index):
-    """Return the slots of one target."""
+    """Return the slots of the target at an index."""
     if isinstance(scenario.slots, int):
         return scenario.slots
     return scenario.slots[index]
 
 
 class Run:
-    """One scenario under one policy with one seed."""
+    """A simulation of one scenario with one policy and one seed.
+
+    ``unaffected`` are the indexes of targets that no event changes.
+    """
 
     def __init__(self, scenario, policy_class, seed):
         self.scenario = scenario
@@ -156,7 +164,7 @@
         self.offered_ms = 0.0
 
     def run(self):
-        """Run it and return the figures."""
+        """Run the simulation; return its figures by name."""
         for time_ms, kind, argument in self.scenario.events:
             self.timeline.schedule(
                 time_ms,
@@ -288,9 +296,10 @@
         return figures
 
     def _compute_slowed_shares(self):
-        """Return the share of work that a slowed target got, of its fair.
+        """Return the work of a slowed target relative to its fair share.
 
-        From 5 s after it slowed until it recovered, and in the last 5 s.
+        It is measured from 5 s after the target slowed until it recovered,
+        and in the last 5 s of the run.
         """
         times = [e for e in self.scenario.events if e[1] == 'speed']
         if not times:
@@ -328,13 +337,13 @@
 
 
 def run_one(job):
-    """Run one job: (scenario, policy class, seed)."""
+    """Run a job, which is (scenario, policy class, seed)."""
     scenario, policy_class, seed = job
     return Run(scenario, policy_class, seed).run()
 
 
 def summarise(results):
-    """Return medians over seeds; refusals are summed."""
+    """Return medians over the seeds, and sums of refusals by reason."""
     summary = {}
     for key in results[0]:
         values = [one[key] for one in results]
@@ -349,7 +358,7 @@
 
 
 def print_table(rows):
-    """Print the figures that matter most as a table."""
+    """Print the main figures as a table."""
     titles = ('scenario', 'policy', 'imbalance', 'goodput', 'broken')
     titles += ('p99 urgent', 'p99 may-wait', 'retries', 'past slots')
     titles += ('may-wait',)
@@ -371,7 +380,7 @@
 
 
 def plot(rows, path):
-    """Draw the imbalance of each scenario and policy."""
+    """Write a bar chart of the imbalance by scenario and policy."""
     import matplotlib
 
     matplotlib.use('Agg')
@@ -396,7 +405,7 @@
 
 
 def main(arguments) -> int:
-    """Run the bench."""
+    """Run the chosen scenarios and policies, and print the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--seeds', type=int, default=10)
     parser.add_argument('--only', default='', help='part of a name')
--- a/benches/setting.py
+++ b/benches/setting.py
@@ -1,4 +1,4 @@
-"""States of a given size for benches."""
+"""Builders of decision states for measurements and tests."""
 
 from ipaddress import ip_network
 
@@ -22,7 +22,7 @@
 
 
 def make_service(mode='stream') -> Service:
-    """Return a service of the bench."""
+    """Return a sample service."""
     return Service(
         team='firm-a',
         name='guidance',
@@ -52,7 +52,7 @@
 
 
 def make_token(state: RoutingState, home: str = NAME) -> bytes:
-    """Return a token of the bench's service."""
+    """Return a sealed token for the sample service."""
     token = FlowToken(
         team='firm-a',
         service='guidance',
@@ -69,7 +69,7 @@
 
 
 def make_home(targets=7, service=None):
-    """Return a home with one pool of targets."""
+    """Return the state of a home with one pool of targets."""
     service = service or make_service()
     home = make_home_state(LimitSettings(max_flows=5_000_000), 'a')
     infos = [
@@ -81,7 +81,7 @@
 
 
 def open_flow(home, service, index, now_ms=0):
-    """Open one stream; return the actions."""
+    """Open a stream; return the actions."""
     caller = Endpoint(f'10.{index >> 16 & 255}.{index >> 8 & 255}.1', index)
     requested = events.FlowAsked(
         service=service,
--- a/benches/silence.py
+++ b/benches/silence.py
@@ -1,9 +1,9 @@
-"""How soon silence is told: a table from logs of balancers.
+"""Measure from balancers' logs how soon dead targets are detected.
 
-Each line of a log holds one JSON object, maybe behind a prefix.  For each
-target that was found dead: when the first flow spoke against it, when each
-balancer judged, and how many flows were reset.  Below it, doubts that a
-target dispelled.
+Each log line holds a JSON object, with or without a prefix.  For each
+target that was found dead the table has the times from the first suspicion
+of any balancer to the balancers' verdicts, and the number of flows reset.
+Sums of suspicions, of those that targets refuted, and of probes follow.
 """
 
 import argparse
@@ -15,13 +15,13 @@
 from attrs import define
 from attrs import Factory
 
-# Verdicts on a target that come this much later belong to another silence.
+# Verdicts on a target further apart than this belong to separate silences.
 MIN_GAP_MS = 3_000
 
 
 @define
 class Silence:
-    """One time during which a target was found dead."""
+    """A period in which balancers found a target dead."""
 
     target: str
     suspected_ms: int
@@ -31,7 +31,7 @@
 
 @define
 class SilenceTable:
-    """What the lines tell, in the order of their times."""
+    """Silences and suspicions collected from log lines."""
 
     silences: list[Silence] = Factory(list)
     suspicions: dict[str, int] = Factory(dict)
@@ -40,7 +40,7 @@
     probes: Counter = Factory(Counter)
 
     def add(self, line: dict) -> None:
-        """Take note of one line."""
+        """Add a log line; lines are expected in order of time."""
         match line:
             case {'event': 'doubted_by_flow'}:
                 self.signs[line['sign']] += 1
@@ -73,10 +73,10 @@
 
 
 def read_lines(paths) -> list[dict]:
-    """Return the objects in logs, in the order of their times.
+    """Return the JSON objects of log files, in order of time.
 
-    What stands before an object ends with the name of its instance, if
-    there is anything; it becomes the field ``from``.
+    The last word of a line's prefix is the name of the instance; it is
+    added as the field ``from``, empty if there is no prefix.
     """
     lines = []
     for path in paths:
@@ -91,7 +91,7 @@
 
 
 def print_table(table: SilenceTable) -> None:
-    """Print a line for each silence, and sums."""
+    """Print a line for each silence, then the sums."""
     print(f'{"target":20} {"first":>8} {"median":>8} {"last ms":>8} resets')
     for one in table.silences:
         after_ms = [
@@ -107,7 +107,7 @@
 
 
 def main(arguments) -> int:
-    """Read the logs that are named and print the table."""
+    """Read the given logs and print the table."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('logs', nargs='+', type=Path)
     options = parser.parse_args(arguments)
--- a/benches/start.py
+++ b/benches/start.py
@@ -1,8 +1,7 @@
-"""What a start costs: processor time until a balancer has what it needs.
+"""Measure the CPU time of a balancer's imports at start.
 
-Each figure is the median over processes of its own, user and system time
-together.  Both forms are measured: the source, and the one that is built
-for the platform.
+Each figure is the median of user and system time over separate processes,
+for the source tree and for the program built for deployment.
 """
 
 import argparse
@@ -24,7 +23,7 @@
 
 MS_PER_S = 1_000
 RUNS = 21
-# What a balancer has imported at each stage.
+# Modules that a balancer has imported by the end of each stage.
 STAGES = {
     'first packet': ENTRIES[:2],
     'event loop': ENTRIES[:3],
@@ -42,7 +41,7 @@
 
 @frozen
 class Form:
-    """A form of the program: what runs first, and where modules lie."""
+    """A form of the program: its prelude code and its PYTHONPATH."""
 
     name: str
     prelude: str
@@ -50,7 +49,7 @@
 
 
 def measure_cpu_ms(code: str, path: str, runs: int) -> float:
-    """Return the median of the processor time of a bare Python."""
+    """Return the median CPU time of Python running some code."""
     times_ms = []
     command = [sys.executable, '-S', '-P', '-c', code]
     for _ in range(runs):
@@ -64,7 +63,7 @@
 
 
 def build(target: Path) -> Form:
-    """Build the deployed form; return it."""
+    """Build the program for deployment in a directory."""
     packages = Path(attrs.__file__).parents[1]
     (target / DEPENDENCIES).symlink_to(packages)
     build_program(target)
@@ -74,17 +73,17 @@
 
 
 def report(form: Form, interpreter_ms: float, runs: int) -> None:
-    """Print what a form spends until each stage, beside the interpreter."""
+    """Print the CPU time of each stage, without that of the interpreter."""
     for stage, modules in STAGES.items():
         imports = '\n'.join(f'import {one}' for one in modules)
-        # What an interpreter does at its end is no part of a start.
+        # Skip the shutdown of the interpreter, which is not measured.
         code = f'{form.prelude}{imports}\nimport os\nos._exit(0)'
         stage_ms = measure_cpu_ms(code, form.path, runs) - interpreter_ms
         print(f'{form.name:10} {stage:20} {stage_ms:8.1f} ms', flush=True)
 
 
 def main(arguments) -> int:
-    """Measure both forms and print a table."""
+    """Measure both forms and print the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--runs', type=int, default=RUNS)
     options = parser.parse_args(arguments)
--- a/benches/timing.py
+++ b/benches/timing.py
@@ -1,4 +1,4 @@
-"""Timing of calls, and memory of this process."""
+"""Timing of calls, memory of this process, and line fits."""
 
 from pathlib import Path
 from statistics import median
@@ -14,7 +14,7 @@
 
 @frozen
 class Timing:
-    """Microseconds for one call: median, least and most of the rounds."""
+    """Microseconds per call: median, minimum and maximum over rounds."""
 
     median_us: float
     min_us: float
@@ -22,7 +22,10 @@
 
 
 def time_calls(call, count: int, rounds: int = ROUNDS) -> Timing:
-    """Time ``count`` calls of ``call(index)`` in each round."""
+    """Time ``count`` calls of ``call(index)`` in each round.
+
+    The index continues across rounds.
+    """
     times_us = []
     for number in range(rounds):
         start_ms = _CLOCK.precise_ms()
@@ -38,7 +41,7 @@
 
 
 def resident_bytes() -> int:
-    """Return the resident memory of this process."""
+    """Return the resident memory of this process, or 0 if unknown."""
     for line in Path('/proc/self/status').read_text().splitlines():
         if line.startswith('VmRSS:'):
             return int(line.split()[1]) * KIB
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -1,8 +1,8 @@
-"""Switches mechanisms off, one at a time, and sees their tests fail.
+"""Mutation tests: disable one mechanism at a time and expect a failure.
 
-Each mutation changes one place of a copy of the source and runs the
-scenarios that should catch it.  Not part of the test run: a full pass
-takes minutes.  ``python -m tests.mutations [PART OF A NAME]``.
+Each mutation edits a copy of the source and runs the scenario that covers
+the mechanism.  They are not part of the test suite because a full run takes
+minutes.  Usage: ``python -m tests.mutations [PART OF A NAME]``.
 """
 
 import os
@@ -38,7 +38,10 @@
 
 @frozen
 class Mutation:
-    """One mechanism switched off, and the scenario that must notice."""
+    """An edit that disables a mechanism, and the scenario that must fail.
+
+    ``name`` describes the mutant; ``file`` is relative to SOURCE.
+    """
 
     name: str
     file: str
@@ -453,7 +456,7 @@
 
 
 def is_noticed(mutation) -> bool:
-    """Return whether the scenario fails without the mechanism."""
+    """Return whether the scenario fails with the mutation applied."""
     with tempfile.TemporaryDirectory(prefix='liftmount-mutant-') as place:
         copy = Path(place) / 'tree'
         ignored = shutil.ignore_patterns('.venv', '.git', '__pycache__')
@@ -467,7 +470,10 @@
 
 
 def run_scenario(copy, mutation):
-    """Run the scenario in the copy; return whether it failed."""
+    """Run the scenario in the copy; return whether it failed.
+
+    Raises LookupError if no scenario matches.
+    """
     command = [sys.executable, '-m', 'behave', '--format', 'plain']
     command += ['--name', mutation.scenario, mutation.feature]
     environment = {**os.environ, 'PYTHONPATH': str(copy / 'src')}
@@ -488,7 +494,7 @@
 
 
 def main() -> int:
-    """Run the mutations; return 1 if one went unnoticed."""
+    """Run the chosen mutations; return 1 if any was not noticed."""
     part = sys.argv[1] if len(sys.argv) > 1 else ''
     unnoticed = 0
     for mutation in MUTATIONS:
--- a/tests/run.py
+++ b/tests/run.py
@@ -1,9 +1,9 @@
-"""Runs the behave suite and ends with ``N passed, N failed``.
+"""Run the behave suite and end with ``N passed, N failed``.
 
-Scenarios with real processes run in a few jobs side by side; each has its
-own loopback addresses.  ``--fast`` leaves them out.  ``--times N`` runs
-what was chosen N times in a row.  A scenario that KNOWN-RED.txt lists does
-not count as failed, and is printed.
+Scenarios that start real processes run in parallel jobs, each on its own
+loopback addresses; ``--fast`` skips them.  ``--times N`` repeats the chosen
+scenarios N times.  A failed scenario that KNOWN-RED.txt lists is printed as
+known red and does not count as failed.
 """
 
 import argparse
@@ -19,14 +19,14 @@
 PROCESS_TAG = 'processes'
 SUMMARY = re.compile(r'(\d+) scenarios? passed, (\d+) failed')
 ERROR_COUNT = re.compile(r'scenarios? passed.*?(\d+) error')
-# How behave names a scenario that failed.
+# A line of the list of failed scenarios in the output of behave.
 FAILED_SCENARIO = re.compile(r'^  (tests/\S+?):\d+  (.+?) *$', re.MULTILINE)
 KNOWN_RED = Path('KNOWN-RED.txt')
 TIMEOUT_S = 600
 
 
 def list_scenarios(paths):
-    """Return locations of (fast features, scenarios with processes)."""
+    """Return (features without processes, scenarios with processes)."""
     fast = []
     slow = []
     for path in paths:
@@ -44,7 +44,7 @@
 
 
 def run_behave(locations):
-    """Run behave on locations; return (passed, failed, output)."""
+    """Run behave on the locations; return (passed, failed, output)."""
     command = [sys.executable, '-m', 'behave', '--format', 'plain']
     command += ['--no-skipped', *locations]
     try:
@@ -66,11 +66,11 @@
 
 
 def read_known_red(text):
-    """Return the (feature, scenario) pairs that a text lists.
+    """Parse KNOWN-RED.txt; return a set of (feature, scenario).
 
-    Each line that is not empty has the feature, the scenario's name, what
-    was seen, the command with its seed, and the open issue, with bars
-    between.  Raises ValueError on any other line.
+    Each non-empty line has five parts separated by ``|``: the feature, the
+    scenario's name, the failure, the command with its seed, and the issue.
+    Raises ValueError on a malformed line.
     """
     pairs = set()
     for number, line in enumerate(text.splitlines(), 1):
@@ -84,13 +84,13 @@
 
 
 def split_failed(output, known):
-    """Return the scenarios that failed as (known red, others)."""
+    """Return the failed scenarios of an output as (known red, others)."""
     failed = set(FAILED_SCENARIO.findall(output))
     return sorted(failed & known), sorted(failed - known)
 
 
 def run_once(fast, slow, jobs, known):
-    """Run everything once; return (passed, failed)."""
+    """Run all scenarios once; return (passed, failed)."""
     batches = [fast] if fast else []
     batches += [[one] for one in slow]
     passed = failed = 0
@@ -115,7 +115,7 @@
 
 
 def main() -> int:
-    """Run what the arguments choose; return the exit status."""
+    """Run the chosen scenarios; return the exit status."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('paths', nargs='*', type=Path)
     parser.add_argument('--fast', action='store_true')
